--- a/crates/isup/src/lib.rs
+++ b/crates/isup/src/lib.rs
@@ -5,71 +5,71 @@
 //! parameter = code:1 length:2 value
 //! ```
 //!
-//! A [`Parser`] is fed bytes as they come. A wrong length makes the rest of a stream unreadable and is final; a message
-//! whose parameters do not fit inside a length that is sound costs that message alone.
+//! A [`Parser`] is fed bytes as they arrive. An invalid length makes the rest of a stream unreadable. Invalid parameters in
+//! a message of valid length affect only that message.
 #![warn(missing_docs)]
 
-/// Bytes of a message at most, its length included (`PROTOCOL.md`: 16 KiB).
-pub const LONGEST: usize = 16 << 10;
-/// Parameters of a message at most: the platform names fewer than twenty.
-pub const PARAMETERS: usize = 32;
-/// Bytes of the length field.
-const LENGTH: usize = 2;
-/// Bytes of type and session.
-const FIXED: usize = 9;
+/// Maximum size of a message in bytes, including its length (`PROTOCOL.md`: 16 KiB).
+pub const MAX_MESSAGE_BYTES: usize = 16 << 10;
+/// Maximum number of parameters of a message. The platform defines fewer than twenty.
+pub const MAX_PARAMETERS: usize = 32;
+/// Size of the length field.
+const LENGTH_BYTES: usize = 2;
+/// Size of type and session.
+const FIXED_HEADER_BYTES: usize = 9;
 
 /// Types of messages.
 pub mod kind {
-    /// Set-up, with a description.
+    /// Requests a session, with a description.
     pub const SETUP: u8 = 1;
-    /// Progress; means nothing.
+    /// Reports progress; ignored.
     pub const PROGRESS: u8 = 6;
-    /// Answer, with a description: the session stands.
+    /// Confirms that the session is established, with a description.
     pub const ANSWER: u8 = 9;
-    /// Refusal, give-up or release, with a cause.
+    /// Refuses a set-up, abandons it or releases a session, with a cause.
     pub const RELEASE: u8 = 12;
-    /// A release was heard.
-    pub const HEARD: u8 = 16;
-    /// Note on a session that stands.
-    pub const NOTE: u8 = 44;
-    /// The session ends and the viewer comes again.
+    /// Acknowledges a release.
+    pub const RELEASE_ACK: u8 = 16;
+    /// Reports on an established session.
+    pub const REPORT: u8 = 44;
+    /// Ends the session; the viewer reconnects.
     pub const MOVE: u8 = 51;
-    /// Test.
+    /// Requests a health check.
     pub const TEST: u8 = 52;
-    /// What a test found: cause 1 passed, 0 failed.
-    pub const TESTED: u8 = 53;
-    /// A new rung.
-    pub const RUNG: u8 = 60;
+    /// The result of a health check: cause 1 for passed, 0 for failed.
+    pub const TEST_RESULT: u8 = 53;
+    /// Sets a new rung.
+    pub const SET_RUNG: u8 = 60;
 }
 
 /// Codes of parameters.
 pub mod code {
     /// The class, as text.
     pub const CLASS: u8 = 33;
-    /// How long the viewer waits, in milliseconds, as text.
-    pub const PATIENCE: u8 = 36;
+    /// The time that the viewer waits, in milliseconds, as text.
+    pub const MAX_WAIT: u8 = 36;
     /// The title, as text.
     pub const TITLE: u8 = 45;
     /// The figures of the request, as text: `name:value` between semicolons.
     pub const FIGURES: u8 = 48;
-    /// For how many milliseconds to stay away, as text.
-    pub const STAY_AWAY: u8 = 51;
+    /// The time to wait before the next request, in milliseconds, as text.
+    pub const RETRY_AFTER: u8 = 51;
     /// A hint of the session's length in milliseconds, as text.
-    pub const HINT: u8 = 63;
+    pub const LENGTH_HINT: u8 = 63;
     /// The cause, one byte.
     pub const CAUSE: u8 = 75;
     /// The description, bytes.
     pub const DESCRIPTION: u8 = 78;
 }
 
-/// A whole message.
+/// A message.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Message {
     /// Its type; see [`kind`].
     pub kind: u8,
     /// The session that it is about.
     pub session: u64,
-    /// Codes and values, in their order; no code twice.
+    /// Codes and values of the parameters, in order, without duplicates.
     pub parameters: Vec<(u8, Vec<u8>)>,
 }
 
@@ -86,7 +86,7 @@
     }
 
     /// Adds the cause.
-    pub fn cause(self, cause: u8) -> Self {
+    pub fn with_cause(self, cause: u8) -> Self {
         self.with(code::CAUSE, [cause])
     }
 
@@ -101,20 +101,20 @@
     }
 
     /// The cause: exactly one byte.
-    pub fn stated_cause(&self) -> Option<u8> {
+    pub fn cause_value(&self) -> Option<u8> {
         match self.get(code::CAUSE) {
             Some(&[cause]) => Some(cause),
             _ => None,
         }
     }
 
-    /// The bytes on the wire; `None` where they would pass a bound.
+    /// Encodes the message; `None` if it exceeds a limit.
     pub fn encode(&self) -> Option<Vec<u8>> {
-        let size = FIXED + self.parameters.iter().map(|p| 3 + p.1.len()).sum::<usize>();
-        if size + LENGTH > LONGEST || self.parameters.len() > PARAMETERS {
+        let size = FIXED_HEADER_BYTES + self.parameters.iter().map(|p| 3 + p.1.len()).sum::<usize>();
+        if size + LENGTH_BYTES > MAX_MESSAGE_BYTES || self.parameters.len() > MAX_PARAMETERS {
             return None;
         }
-        let mut out = Vec::with_capacity(LENGTH + size);
+        let mut out = Vec::with_capacity(LENGTH_BYTES + size);
         out.extend_from_slice(&u16::try_from(size).ok()?.to_be_bytes());
         out.push(self.kind);
         out.extend_from_slice(&self.session.to_be_bytes());
@@ -127,12 +127,12 @@
     }
 }
 
-/// Why a message, or the rest of a stream, can't be read.
+/// Why the rest of a stream can't be read.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Fault {
-    /// A length under that of type and session.
+    /// The length does not cover type and session.
     TooShort,
-    /// A length over [`LONGEST`].
+    /// The length exceeds [`MAX_MESSAGE_BYTES`].
     TooLong,
 }
 
@@ -147,19 +147,19 @@
 
 impl std::error::Error for Fault {}
 
-/// What a stream holds.
+/// An element of a stream.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Frame {
     /// A message.
     Message(Message),
-    /// A message of a sound length whose parameters can't be read; the stream goes on behind it.
-    Unreadable {
-        /// The type that it names.
+    /// A message of valid length whose parameters can't be read. The stream continues after it.
+    Invalid {
+        /// Its type.
         kind: u8,
-        /// The session that it names.
+        /// Its session.
         session: u64,
-        /// What is wrong.
-        what: &'static str,
+        /// Why it can't be read.
+        reason: &'static str,
     },
 }
 
@@ -167,80 +167,85 @@
 #[derive(Debug, Default)]
 pub struct Parser {
     bytes: Vec<u8>,
-    at: usize,
+    position: usize,
     failed: Option<Fault>,
 }
 
 impl Parser {
-    /// Takes bytes as they came; none are kept after a fault.
+    /// Adds received bytes. They are discarded after an error.
     pub fn feed(&mut self, bytes: &[u8]) {
         if self.failed.is_none() {
             self.bytes.extend_from_slice(bytes);
         }
     }
 
-    /// Bytes held that belong to no message handed out yet. Under [`LONGEST`] whenever [`Self::poll`] gave `None`.
+    /// Number of buffered bytes that are not part of a returned message. Less than [`MAX_MESSAGE_BYTES`] after
+    /// [`Self::poll`] has returned `None`.
     pub fn pending(&self) -> usize {
-        self.bytes.len() - self.at
+        self.bytes.len() - self.position
     }
 
-    /// The next whole message; a fault is final and comes again at each call.
+    /// Returns the next complete message, or `None` if more bytes are needed.
+    ///
+    /// # Errors
+    ///
+    /// The stream can't be read. The error is final and returned by each further call.
     pub fn poll(&mut self) -> Result<Option<Frame>, Fault> {
         if let Some(fault) = self.failed {
             return Err(fault);
         }
-        let rest = &self.bytes[self.at..];
-        let Some(&[high, low]) = rest.first_chunk::<LENGTH>() else {
-            self.tidy();
+        let rest = &self.bytes[self.position..];
+        let Some(&[high, low]) = rest.first_chunk::<LENGTH_BYTES>() else {
+            self.compact_buffer();
             return Ok(None);
         };
         let size = usize::from(u16::from_be_bytes([high, low]));
-        // The length alone tells a fault: nothing of such a message is waited for.
-        let fault = if size < FIXED { Some(Fault::TooShort) } else { None };
-        if let Some(fault) = fault.or((size + LENGTH > LONGEST).then_some(Fault::TooLong)) {
-            (self.failed, self.bytes, self.at) = (Some(fault), Vec::new(), 0);
+        // An invalid length is reported without waiting for the rest of the message.
+        let fault = if size < FIXED_HEADER_BYTES { Some(Fault::TooShort) } else { None };
+        if let Some(fault) = fault.or((size + LENGTH_BYTES > MAX_MESSAGE_BYTES).then_some(Fault::TooLong)) {
+            (self.failed, self.bytes, self.position) = (Some(fault), Vec::new(), 0);
             return Err(fault);
         }
-        if rest.len() < LENGTH + size {
-            self.tidy();
+        if rest.len() < LENGTH_BYTES + size {
+            self.compact_buffer();
             return Ok(None);
         }
-        let frame = frame(&rest[LENGTH..LENGTH + size]);
-        self.at += LENGTH + size;
+        let frame = read_frame(&rest[LENGTH_BYTES..LENGTH_BYTES + size]);
+        self.position += LENGTH_BYTES + size;
         Ok(Some(frame))
     }
 
-    fn tidy(&mut self) {
-        if self.at == self.bytes.len() {
-            // A quiet connection holds no buffer.
-            (self.bytes, self.at) = (Vec::new(), 0);
-        } else if self.at > 0 {
-            self.bytes.drain(..self.at);
-            self.at = 0;
+    fn compact_buffer(&mut self) {
+        if self.position == self.bytes.len() {
+            // Release the buffer of an idle connection.
+            (self.bytes, self.position) = (Vec::new(), 0);
+        } else if self.position > 0 {
+            self.bytes.drain(..self.position);
+            self.position = 0;
         }
     }
 }
 
-/// Reads a message behind its length; `body` holds type and session at least.
-fn frame(body: &[u8]) -> Frame {
-    let (fixed, mut rest) = body.split_at(FIXED);
+/// Reads a message without its length. `body` contains at least type and session.
+fn read_frame(body: &[u8]) -> Frame {
+    let (fixed, mut rest) = body.split_at(FIXED_HEADER_BYTES);
     let kind = fixed[0];
     let session = fixed[1..].iter().fold(0u64, |a, &b| a << 8 | u64::from(b));
-    let bad = |what| Frame::Unreadable { kind, session, what };
+    let invalid = |reason| Frame::Invalid { kind, session, reason };
     let mut parameters: Vec<(u8, Vec<u8>)> = Vec::new();
     while !rest.is_empty() {
         let Some((&[code, high, low], after)) = rest.split_first_chunk::<3>() else {
-            return bad("a parameter is cut off");
+            return invalid("a parameter is cut off");
         };
         let size = usize::from(u16::from_be_bytes([high, low]));
         let Some((value, after)) = after.split_at_checked(size) else {
-            return bad("a parameter is longer than its message");
+            return invalid("a parameter is longer than its message");
         };
-        if parameters.len() == PARAMETERS {
-            return bad("too many parameters");
+        if parameters.len() == MAX_PARAMETERS {
+            return invalid("too many parameters");
         }
         if parameters.iter().any(|p| p.0 == code) {
-            return bad("a parameter comes twice");
+            return invalid("a parameter comes twice");
         }
         parameters.push((code, value.to_vec()));
         rest = after;
--- a/crates/lab/examples/measure.rs
+++ b/crates/lab/examples/measure.rs
@@ -146,7 +146,7 @@
     if std::env::args().any(|a| a == "--known") {
         // When one that went is known, alone, with the fixed time beside it.
         std::thread::scope(|s| {
-            for (n, without) in sizes.iter().flat_map(|n| [(*n, None), (*n, Some(Feature::Doubt))]) {
+            for (n, without) in sizes.iter().flat_map(|n| [(*n, None), (*n, Some(Feature::Suspicion))]) {
                 s.spawn(move || println!("| {n} | {without:?} | {} |", known(n, without)));
             }
         });
@@ -154,7 +154,7 @@
     }
     if std::env::args().any(|a| a == "--wrong") {
         // The last column's 20% alone, with the fixed time beside it.
-        for (n, without) in sizes.iter().flat_map(|n| [(*n, None), (*n, Some(Feature::Doubt))]) {
+        for (n, without) in sizes.iter().flat_map(|n| [(*n, None), (*n, Some(Feature::Suspicion))]) {
             println!("| {n} | {without:?} | {} |", wrong(n, without, 0.2, false));
         }
         return;
@@ -162,14 +162,14 @@
     sizes.iter().for_each(|n| println!("{}", row(*n, None)));
     if std::env::args().any(|a| a == "--features") {
         let features = [
-            Feature::Doubt,
+            Feature::Suspicion,
             Feature::Confirm,
-            Feature::Prove,
-            Feature::Guard,
+            Feature::Probe,
+            Feature::StallGuard,
             Feature::Buddy,
-            Feature::Mend,
-            Feature::Gone,
-            Feature::Call,
+            Feature::Reconcile,
+            Feature::NameRemoved,
+            Feature::CallMissing,
         ];
         let first = sizes.first().copied().unwrap_or(60);
         features.into_iter().for_each(|f| println!("{}", row(first, Some(f))));
--- a/crates/lab/src/choices.rs
+++ b/crates/lab/src/choices.rs
@@ -3,9 +3,9 @@
 //! late figures. The subsets, turns and the law are those of `micadyke-subset` as they run; what stands beside them to be
 //! compared is written here in its simplest form.
 
-use micadyke_subset::turns::{self, Matter, Watch};
-use micadyke_subset::working::Terms;
-use micadyke_subset::{Damper, Figure, Law, Node, Server, Why, damp, plan};
+use micadyke_subset::turns::{self, Task, TaskHistory};
+use micadyke_subset::working::DrawSettings;
+use micadyke_subset::{BalanceController, ControlLaw, LoadFigure, Node, Reason, Server, damp, plan};
 use rand::rngs::StdRng;
 use rand::seq::SliceRandom;
 use rand::{Rng, SeedableRng};
@@ -113,11 +113,11 @@
                 if draw == Draw::Untold {
                     nodes.iter_mut().for_each(|n| n.capacity = 1.0);
                 }
-                let plan = plan(&nodes, &self.servers, &Terms::default());
+                let plan = plan(&nodes, &self.servers, &DrawSettings::default());
                 let place: BTreeMap<&str, usize> =
                     self.servers.iter().enumerate().map(|(i, s)| (s.id.as_str(), i)).collect();
                 let of = |n: &Node| {
-                    let working = plan.working(&n.name).unwrap_or_default();
+                    let working = plan.working_subset(&n.name).unwrap_or_default();
                     working.into_iter().map(|p| (place[p.server], p.share)).collect::<BTreeMap<_, _>>()
                 };
                 self.nodes.iter().map(|n| (n.name.clone(), of(n))).collect()
@@ -283,14 +283,15 @@
         number += usize::from(s.zone == "z0");
         s.zone != "z0" || number as f64 > of as f64 * gone
     });
-    let plan = plan(&fleet.nodes, &fleet.servers, &Terms::default());
+    let plan = plan(&fleet.nodes, &fleet.servers, &DrawSettings::default());
     let (mut spilled, mut all) = (0.0, 0.0);
     for n in fleet.nodes.iter().filter(|n| n.zone == "z0") {
         all += n.capacity;
-        let spill = plan.working(&n.name).unwrap_or_default();
-        spilled += n.capacity * spill.iter().filter(|p| p.why == Why::Spill).map(|p| p.share).sum::<f64>();
+        let spill = plan.working_subset(&n.name).unwrap_or_default();
+        spilled +=
+            n.capacity * spill.iter().filter(|p| p.reason == Reason::Spillover).map(|p| p.share).sum::<f64>();
     }
-    let most = plan.loads().iter().map(|(_, l)| *l).fold(0.0, f64::max);
+    let most = plan.relative_loads().iter().map(|(_, l)| *l).fold(0.0, f64::max);
     (spilled / all, most)
 }
 
@@ -316,7 +317,7 @@
 /// are dead, but still in the view. A node that begins to look says so, as news; so does one that is answered.
 pub fn look(by_turns: bool, seed: u64, nodes: usize, gone: usize) -> Looked {
     let mut random = StdRng::seed_from_u64(seed);
-    let terms = turns::Terms::default();
+    let terms = turns::TurnSettings::default();
     let names: Vec<String> = (0..nodes).map(|n| format!("{seed}-n{n}")).collect();
     let lives: Vec<bool> = (0..nodes).map(|n| n % 10 >= gone).collect();
     let living = lives.iter().filter(|l| **l).count();
@@ -325,7 +326,7 @@
     let returns = 30 * SECOND + random.random_range(0..terms.window);
     let end = returns + 3 * terms.window;
     let own: Vec<u64> = (0..nodes).map(|_| random.random_range(0..terms.window)).collect();
-    let mut watch = vec![Watch::default(); nodes];
+    let mut watch = vec![TaskHistory::default(); nodes];
     // Each piece of news: when it was made, whether the server lives.
     let mut seen: Vec<BTreeSet<(u64, bool)>> = vec![BTreeSet::new(); nodes];
     let mut knows: Vec<Option<u64>> = vec![None; nodes];
@@ -353,7 +354,7 @@
             Ev::Turn(n) => {
                 let looks = if by_turns {
                     let of = names.iter().map(String::as_str);
-                    let due = watch[n].due(&terms, of, &names[n], Matter::Server("s"), now);
+                    let due = watch[n].due_at(&terms, of, &names[n], Task::ProbeServer("s"), now);
                     let next = (terms.window_at(now) + 1) * terms.window;
                     match due {
                         Some(at) if at > now => {
@@ -371,7 +372,7 @@
                 };
                 if looks {
                     calls += u32::from(now < returns);
-                    watch[n].heard(&terms, now, now);
+                    watch[n].record_result(&terms, now, now);
                     if now >= returns {
                         put(&mut events, now + 2 * WAY, Ev::Hears(n, now, true));
                     } else if by_turns {
@@ -380,7 +381,7 @@
                 }
             }
             Ev::Hears(n, made, alive) => {
-                watch[n].heard(&terms, now, made);
+                watch[n].record_result(&terms, now, made);
                 if alive {
                     knows[n].get_or_insert(now);
                 }
@@ -433,7 +434,7 @@
     /// How long a session lasts on average.
     pub life: f64,
     /// The law.
-    pub law: Law,
+    pub law: ControlLaw,
 }
 
 /// What came of it, over the last minute.
@@ -460,7 +461,8 @@
     let base: Vec<Vec<(usize, f64)>> =
         fleet.nodes.iter().map(|n| shares[&n.name].iter().map(|(&s, &x)| (s, x)).collect()).collect();
     let mut now_sent: Vec<Vec<f64>> = base.iter().map(|b| b.iter().map(|x| x.1).collect()).collect();
-    let mut dampers: Vec<Vec<Damper>> = base.iter().map(|b| vec![Damper::new(run.law, 0); b.len()]).collect();
+    let mut dampers: Vec<Vec<BalanceController>> =
+        base.iter().map(|b| vec![BalanceController::new(run.law, 0); b.len()]).collect();
     let follows: Vec<bool> = (0..nodes).map(|_| random.random::<f64>() < run.part).collect();
     let phase: Vec<u64> = (0..nodes).map(|_| random.random_range(0..run.law.period / STEP) * STEP).collect();
     let weight: f64 = fleet.servers.iter().map(|s| s.weight).sum();
@@ -498,11 +500,11 @@
                         .zip(&mut dampers[n])
                         .map(|(&(s, _), d)| {
                             let figure =
-                                Figure { carried: told[s], wanted: 1.0, age: run.lag, complete: 1.0 };
+                                LoadFigure { carried: told[s], target: 1.0, age: run.lag, coverage: 1.0 };
                             d.factor(now, Some(figure))
                         })
                         .collect();
-                    damp::scaled(&shares, &factors)
+                    damp::scale_shares(&shares, &factors)
                 }
                 Follows::Whole => {
                     let room: Vec<f64> = of.map(|&(s, x)| x * (1.0 - told[s]).max(0.0)).collect();
--- a/crates/lab/src/fleet.rs
+++ b/crates/lab/src/fleet.rs
@@ -119,14 +119,18 @@
     /// A fleet in its steady state.
     pub fn new(plan: Plan) -> Self {
         let mut members = members::World::new(plan.seed, plan.fronts);
-        members.shares =
-            Some(share::Terms { fronts: plan.fronts as u32, always: 500, lease: 3 * SECOND, drift: 10 });
+        members.shares = Some(share::ShareSettings {
+            fleet_size: plan.fronts as u32,
+            guaranteed_per_mille: 500,
+            lease_duration: 3 * SECOND,
+            max_drift_per_mille: 10,
+        });
         (0..plan.fronts).for_each(|n| members.start(n));
         members.until_settled(60);
         members.run(9 * SECOND);
         let class = Class {
             worth: 1.0,
-            aim: SECOND,
+            setup_target: SECOND,
             effect: Effect::Idempotent,
             scale: 1.0,
             floor: 0,
@@ -136,19 +140,19 @@
         let settings = Settings {
             fronts: plan.fronts as u32,
             classes: vec![class],
-            ladder: LADDER.iter().map(|&(rate, worth)| Step { rate, worth }).collect(),
+            ladder: LADDER.iter().map(|&(rate, worth)| RungSpec { rate, worth }).collect(),
             cells: 1,
             racks: 1,
             streams_by_kind: vec![PLACES],
             link_per_weight: LINK,
-            weights_tell_size: true,
+            weights_reflect_size: true,
             full_from: 1.5,
             change_cost_s: 0.5,
-            note_delay: 100 * MS,
-            note_period: SECOND,
+            report_delay: 100 * MS,
+            report_period: SECOND,
             max_attempts: 3,
-            may_advise: true,
-            max_come_back: 4 * SECOND,
+            advises_retry: true,
+            max_retry_after: 4 * SECOND,
             cold_for: 20 * SECOND,
             cold_from: 0.3,
             fall_multiple: 3.0,
@@ -240,9 +244,9 @@
                 Action::Send { session, server, .. } => {
                     self.plan_at(self.now + WAY, Ev::Arrives(n, session, server));
                 }
-                Action::Refuse { come_back, .. } => {
+                Action::Refuse { retry_after, .. } => {
                     self.current.refused += 1;
-                    self.comes_back(come_back);
+                    self.comes_back(retry_after);
                 }
                 Action::Fail { .. } => {
                     self.current.refused += 1;
@@ -372,7 +376,7 @@
             spread: 1,
             top: LADDER.len() - 1,
             give_up_at: self.now + PATIENCE,
-            again,
+            returning: again,
         };
         self.tell(n, Event::Request(wish));
     }
@@ -423,14 +427,14 @@
             Parts::Fixed => return,
             Parts::Leased => self.members.parts(),
             Parts::Seen => {
-                let seen = |p: &members::Process| 1.0 / p.view.living() as f64;
+                let seen = |p: &members::Process| 1.0 / p.view.alive_count() as f64;
                 self.members.processes.iter().map(|(n, p)| (*n, seen(p))).collect()
             }
         };
         for (n, part) in parts {
             let Some(front) = self.fronts.get_mut(&n).filter(|f| f.part != Some(part)) else { continue };
             front.part = Some(part);
-            self.tell(n, Event::Part { always: part, leased: 0.0, until: Nanos::MAX });
+            self.tell(n, Event::ColdBudgetShare { guaranteed: part, leased: 0.0, lease_ends_at: Nanos::MAX });
         }
     }
 
@@ -444,8 +448,8 @@
                 *first = (*first).min(*session);
             }
             for (server, session) in one {
-                let (value, kind) = (self.world.use_of(server.0, self.now).0, NoteKind::LinkUse);
-                self.tell(n, Event::Note { session, server, kind, value });
+                let (value, kind) = (self.world.use_of(server.0, self.now).0, ReportKind::LinkUse);
+                self.tell(n, Event::Report { session, server, kind, value });
             }
         }
         let (now, s) = (self.now, &self.settings);
--- a/crates/lab/src/joined.rs
+++ b/crates/lab/src/joined.rs
@@ -4,17 +4,17 @@
 use crate::choices::quantile;
 use crate::fleet::{MS, SECOND};
 use micadyke::decide::Controller;
-use micadyke::interface::{Action, Event, Figure, Nanos, Reach, ServerId};
+use micadyke::interface::{Action, Event, FleetLoad, Nanos, Reachability, ServerId};
 use micadyke::module::Decide;
 use micadyke_isup::{Frame, Message, Parser, code, kind};
 use micadyke_membership::Change;
 use micadyke_node::config::{Config, read};
 use micadyke_node::{ConnId, Input, Node, Output};
-use micadyke_recovery::phases::Fleet;
+use micadyke_recovery::phases::MembershipEvent;
 use micadyke_rtsp::Message as Rtsp;
 use micadyke_standin::members;
 use micadyke_standin::platform::{Act, MediaServer, Record, Treat};
-use micadyke_subset::settings::{Kin, Terms};
+use micadyke_subset::settings::{NodeGroup, SubsetSettings};
 use micadyke_subset::{self as subset, turns, widen, working};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
@@ -120,15 +120,15 @@
     told: bool,
     carried: Option<Carried>,
     due: Nanos,
-    reach: BTreeMap<ServerId, Reach>,
+    reach: BTreeMap<ServerId, Reachability>,
 }
 
 impl Decide for Ear {
     fn handle(&mut self, now: Nanos, event: Event, out: &mut Vec<Action>) {
-        if let Event::Reach { server, reach } = event {
+        if let Event::Reachability { server, reachability: reach } = event {
             self.reach.insert(server, reach);
         }
-        if let Event::Fleet { server, outside, .. } = event {
+        if let Event::FleetUpdate { server, outside_subset: outside, .. } = event {
             match outside {
                 true => self.outside.insert(server),
                 false => self.outside.remove(&server),
@@ -139,9 +139,14 @@
             let carried = carried.borrow();
             let wanted = carried.iter().sum::<f64>() / carried.len().max(1) as f64;
             for (n, &carried) in carried.iter().enumerate() {
-                let (server, figure) = (number(n), Figure { carried, wanted, age: SECOND, complete: 1.0 });
+                let (server, load) =
+                    (number(n), FleetLoad { carried, target: wanted, age: SECOND, coverage: 1.0 });
                 let outside = self.outside.contains(&server);
-                self.inner.handle(now, Event::Fleet { server, outside, figure: Some(figure) }, out);
+                self.inner.handle(
+                    now,
+                    Event::FleetUpdate { server, outside_subset: outside, load: Some(load) },
+                    out,
+                );
             }
         }
         let list = matches!(event, Event::List { .. });
@@ -149,7 +154,7 @@
         if list && !self.told {
             self.told = true;
             for server in self.outside.clone() {
-                self.inner.handle(now, Event::Fleet { server, outside: true, figure: None }, out);
+                self.inner.handle(now, Event::FleetUpdate { server, outside_subset: true, load: None }, out);
             }
         }
     }
@@ -231,13 +236,13 @@
         rows.join(",")
     );
     let mut config = read(&text).expect("sound");
-    let s = &mut config.site.settings;
+    let s = &mut config.deployment.settings;
     (s.fronts, s.cells, s.zone) = (plan.nodes as u32, CELLS as u32, (n % ZONES) as u32);
     (s.link_per_weight, s.streams_by_kind, s.full_from) = (LINK, vec![PLACES as u32], 1.0);
     (s.cross_price, s.handshake_price) = (0.05, plan.price);
-    (s.cold_for, s.note_delay, s.note_period) = (20 * SECOND, 100 * MS, SECOND);
+    (s.cold_for, s.report_delay, s.report_period) = (20 * SECOND, 100 * MS, SECOND);
     s.classes[0].top = 0;
-    config.site.names.zones = (0..ZONES).map(|z| format!("z{z}")).collect();
+    config.deployment.names.zones = (0..ZONES).map(|z| format!("z{z}")).collect();
     config
 }
 
@@ -285,16 +290,16 @@
         run
     }
 
-    fn terms(&self) -> Terms {
-        let kin = |n: usize| Kin {
-            names: members::name(n),
+    fn terms(&self) -> SubsetSettings {
+        let kin = |n: usize| NodeGroup {
+            name_prefix: members::name(n),
             zone: format!("z{}", n % ZONES),
             capacity: self.traffic[n],
         };
-        Terms {
+        SubsetSettings {
             working: (self.plan.way == Way::Working)
-                .then_some((working::Terms::default(), widen::Terms::default())),
-            turns: self.plan.turns.then(turns::Terms::default),
+                .then_some((working::DrawSettings::default(), widen::WidenSettings::default())),
+            turns: self.plan.turns.then(turns::TurnSettings::default),
             nodes: (0..self.traffic.len()).map(kin).collect(),
         }
     }
@@ -307,8 +312,8 @@
         let terms = self.terms();
         let nodes: Vec<_> = (0..self.plan.nodes).map(|n| terms.node(&members::name(n))).collect();
         let size = || {
-            let plan = subset::plan(&nodes, &all, &working::Terms::default());
-            let sum: usize = nodes.iter().filter_map(|n| plan.working(&n.name)).map(|w| w.len()).sum();
+            let plan = subset::plan(&nodes, &all, &working::DrawSettings::default());
+            let sum: usize = nodes.iter().filter_map(|n| plan.working_subset(&n.name)).map(|w| w.len()).sum();
             sum / nodes.len()
         };
         let mut own = StdRng::seed_from_u64(self.plan.seed.wrapping_mul(7919) ^ n as u64);
@@ -327,7 +332,8 @@
 
     fn start(&mut self, n: usize) {
         let config = config(&self.plan, n);
-        let inner = Controller::new(config.site.settings.clone(), config.seed, self.now).expect("sound");
+        let inner =
+            Controller::new(config.deployment.settings.clone(), config.seed, self.now).expect("sound");
         let carried = self.plan.figures.then(|| self.carried.clone());
         let (outside, reach) = (self.outside(n), BTreeMap::new());
         let ear = Ear { inner, outside, told: false, carried, due: 0, reach };
@@ -514,7 +520,7 @@
         let figures = format!("home:{home};copies:{COPIES};top:0;viewer:00000000b4d65521");
         let message = Message::new(kind::SETUP, ((n as u64) << 40) | self.number)
             .with(code::CLASS, "free")
-            .with(code::PATIENCE, "4000")
+            .with(code::MAX_WAIT, "4000")
             .with(code::TITLE, format!("{home:016x}"))
             .with(code::FIGURES, figures)
             .with(code::DESCRIPTION, "wish");
@@ -527,11 +533,13 @@
         let told = std::mem::take(&mut self.members.told);
         for (_, n, change) in &told {
             let facts = match change {
-                Change::Up(m) | Change::Renewed { new: m, .. } => Fleet::Lives(m.name.clone(), m.start),
-                Change::Down(m) | Change::Left(m) => Fleet::Gone(m.name.clone()),
-                Change::Settled { .. } => Fleet::Settled(true),
-                Change::Unsettled(_) => Fleet::Settled(false),
-                Change::Heard { news, .. } => {
+                Change::Up(m) | Change::Renewed { new: m, .. } => {
+                    MembershipEvent::Alive(m.name.clone(), m.start)
+                }
+                Change::Down(m) | Change::Left(m) => MembershipEvent::Gone(m.name.clone()),
+                Change::Settled { .. } => MembershipEvent::ViewSettled(true),
+                Change::Unsettled(_) => MembershipEvent::ViewSettled(false),
+                Change::ServerReported { report: news, .. } => {
                     self.feed(*n, Input::Heard(news));
                     continue;
                 }
@@ -640,7 +648,7 @@
     r.silent = false;
     r.servers[SILENT] = MediaServer::new(&id(SILENT), SET_UP, Treat::Serve(LIFE));
     let back = r.now;
-    let lost = |f: &Front| f.node.module().reach.get(&number(SILENT)) == Some(&Reach::Lost);
+    let lost = |f: &Front| f.node.module().reach.get(&number(SILENT)) == Some(&Reachability::Lost);
     while r.fronts.values().filter(|f| lost(f)).count() * 100 > r.fronts.len() && r.now < back + 20 * SECOND {
         r.run(50 * MS);
     }
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -175,7 +175,7 @@
 
 fn damped(seeds: u64) {
     head("session, s | lag, s | figures are answered | by | load, most over share | swing");
-    let law = micadyke_subset::Law::default();
+    let law = micadyke_subset::ControlLaw::default();
     for (life, lags) in [(60.0, vec![1, 16]), (5.0, vec![1, 4, 8, 16])] {
         for lag in lags.into_iter().map(|quarters| quarters * SECOND / 4) {
             let rows = [
@@ -184,7 +184,7 @@
                 (Follows::Own, 1.0, law),
                 (Follows::Own, 0.7, law),
                 (Follows::Own, 0.3, law),
-                (Follows::Own, 1.0, micadyke_subset::Law { gain: 30.0, ..law }),
+                (Follows::Own, 1.0, micadyke_subset::ControlLaw { gain: 30.0, ..law }),
             ];
             for (follows, part, law) in rows {
                 let columns = row(seeds, |seed| {
--- a/crates/lab/src/ramp/fleet.rs
+++ b/crates/lab/src/ramp/fleet.rs
@@ -153,7 +153,7 @@
     let d = &plan.deployment;
     let class = |scale| Class {
         worth: 1.0,
-        aim: SECOND,
+        setup_target: SECOND,
         effect: Effect::Idempotent,
         scale,
         floor: 0,
@@ -163,17 +163,17 @@
     Settings {
         fronts: plan.group_size,
         classes: vec![class(1.0), class(0.8)],
-        ladder: LADDER.iter().map(|&(rate, worth)| Step { rate, worth }).collect(),
+        ladder: LADDER.iter().map(|&(rate, worth)| RungSpec { rate, worth }).collect(),
         cells: 1,
         racks: 1,
         streams_by_kind: vec![d.bound.places as u32],
         link_per_weight: d.bound.places * MIDDLE,
-        weights_tell_size: true,
+        weights_reflect_size: true,
         change_cost_s: 0.5,
-        note_period: NOTE_PERIOD,
+        report_period: NOTE_PERIOD,
         max_attempts: 3,
-        may_advise: true,
-        max_come_back: 4 * SECOND,
+        advises_retry: true,
+        max_retry_after: 4 * SECOND,
         cold_for: d.bound.cold_for,
         cold_from: d.bound.cold_from,
         fall_multiple: d.bound.multiple,
@@ -292,7 +292,11 @@
             Ev::Listed(entry) => self.listed(entry),
             Ev::Reads(n, process, entry) => self.reads(n, process, entry),
             Ev::NotLost(n, process, server) => {
-                self.tell_process(n, process, Event::Reach { server, reach: Reach::Closed });
+                self.tell_process(
+                    n,
+                    process,
+                    Event::Reachability { server, reachability: Reachability::Closed },
+                );
             }
             Ev::Kill(n) => self.kill(n),
             Ev::Open(n) => self.open(n),
@@ -351,7 +355,7 @@
         for action in out {
             match action {
                 Action::Send { session, server, timeout } => self.send(n, session, server, timeout),
-                Action::Refuse { session, come_back } => self.answered(session, come_back),
+                Action::Refuse { session, retry_after } => self.answered(session, retry_after),
                 Action::Fail { session } => self.answered(session, 0),
                 Action::SetTimer { after, token } => {
                     self.at(self.now + after, Ev::Timer(n, process, token));
@@ -403,7 +407,7 @@
             spread: 1,
             top: LADDER.len() - 1,
             give_up_at: self.now + self.fronts[&n].clock + PATIENCE,
-            again,
+            returning: again,
         };
         self.tell(n, Event::Request(wish));
     }
@@ -488,7 +492,7 @@
             let rung = front.rungs.remove(&session).unwrap_or(0);
             front.playing.insert(session, (attempt, rung));
         }
-        self.tell(n, Event::Reach { server: attempt.server, reach: Reach::Open });
+        self.tell(n, Event::Reachability { server: attempt.server, reachability: Reachability::Open });
         self.tell(n, Event::Started { session });
     }
 
@@ -509,7 +513,7 @@
             self.saw_fail(n, server, attempt.at);
         }
         if outcome == Outcome::NoConnection {
-            self.tell(n, Event::Reach { server, reach: Reach::Lost });
+            self.tell(n, Event::Reachability { server, reachability: Reachability::Lost });
             self.at(self.now + LOST, Ev::NotLost(n, process, server));
         }
         self.tell(n, Event::Ended { session, server, outcome, finished: false });
@@ -607,7 +611,7 @@
         let notes: Vec<(usize, SessionId, ServerId)> = self.fronts.iter().flat_map(one_each).collect();
         for (n, session, server) in notes {
             let value = asked.get(&server.0).copied().unwrap_or(0.0) / link;
-            self.tell(n, Event::Note { session, server, kind: NoteKind::LinkUse, value });
+            self.tell(n, Event::Report { session, server, kind: ReportKind::LinkUse, value });
         }
     }
 }
--- a/crates/lab/src/waits.rs
+++ b/crates/lab/src/waits.rs
@@ -1,9 +1,10 @@
-//! Waits for the answers of many in virtual time: [`Learned`] as it runs beside an oracle that knows when members answer,
-//! and beside rules that do not learn.
+//! Waits for the answers of many in virtual time: [`LearnedDeadline`] as it runs beside an oracle that knows when members
+//! answer, and beside rules that do not learn.
 
 use crate::fleet::MS;
 use micadyke_deadline::{
-    Deadline, Feature, Law, Learned, Nanos, Open, Settings, Waited, Worth, decide, split,
+    AskedMember, Deadline, Feature, LatencyDistribution, LearnedDeadline, Nanos, OpenQuery, Settings, Worth,
+    best_wait_end, split,
 };
 use micadyke_directory::{Directory, Input, Key, Output, SECOND, Seen, Session, heard};
 use rand::rngs::StdRng;
@@ -96,7 +97,7 @@
     /// An oracle whose gatherers end at this part of what a split by known laws says, whatever came.
     Cut(f64),
     /// Spans of a gatherer and of the asker.
-    Fixed(Nanos, Nanos),
+    FixedDeadline(Nanos, Nanos),
     P99,
 }
 
@@ -184,21 +185,25 @@
         (r, factor)
     }
 
-    fn laws(&self, slow: f64) -> Vec<Law> {
-        (0..self.members.len()).map(|m| Law::of(|t| self.by(m, t as f64 / MS as f64 / slow))).collect()
+    fn laws(&self, slow: f64) -> Vec<LatencyDistribution> {
+        (0..self.members.len())
+            .map(|m| LatencyDistribution::from_fn(|t| self.by(m, t as f64 / MS as f64 / slow)))
+            .collect()
     }
 }
 
 /// Where times are drawn as if a question held up all alike, the oracle knows its factors and sees which it is.
-fn oracle_laws(now: Nanos, open: &Open, laws: &[Law]) -> Vec<Law> {
+fn oracle_laws(now: Nanos, open: &OpenQuery, laws: &[LatencyDistribution]) -> Vec<LatencyDistribution> {
     let spent = (now - open.asked_at) as f64;
     let logs = SHARED.map(|(f, p)| {
-        let of = open.waited.iter().zip(laws).map(|(w, law)| match w.arrived {
+        let of = open.members.iter().zip(laws).map(|(w, law)| match w.answered_at {
             Some(at) => {
                 let took = (at - open.asked_at) as f64 / f;
-                (law.by((took * 1.09) as Nanos) - law.by((took / 1.09) as Nanos)).max(1e-9).ln()
+                (law.probability_by((took * 1.09) as Nanos) - law.probability_by((took / 1.09) as Nanos))
+                    .max(1e-9)
+                    .ln()
             }
-            None => (1.0 - law.by((spent / f) as Nanos)).max(1e-9).ln(),
+            None => (1.0 - law.probability_by((spent / f) as Nanos)).max(1e-9).ln(),
         });
         p.ln() + of.sum::<f64>()
     });
@@ -208,8 +213,8 @@
     // Twofold is an octave, eight steps of a law.
     let scales: Vec<(isize, f64)> =
         SHARED.iter().zip(each).map(|(s, p)| ((s.0.log2() * 8.0).round() as isize, p / sum)).collect();
-    let of = open.waited.iter().zip(laws);
-    of.map(|(w, law)| if w.arrived.is_some() { law.clone() } else { law.mixed(&scales) }).collect()
+    let of = open.members.iter().zip(laws);
+    of.map(|(w, law)| if w.answered_at.is_some() { law.clone() } else { law.mixture(&scales) }).collect()
 }
 
 /// What comes late: when, the gatherer, the kind, the member, how long it took.
@@ -222,9 +227,9 @@
 struct Sim<'a> {
     world: &'a World,
     who: Who,
-    gatherers: Vec<Learned>,
+    gatherers: Vec<LearnedDeadline>,
     late: Late,
-    laws: Vec<Law>,
+    laws: Vec<LatencyDistribution>,
     p99: Nanos,
     /// A split by known laws.
     known: (Nanos, Nanos),
@@ -235,27 +240,27 @@
     fn gather(
         &mut self, g: usize, asked_at: Nanos, limit: Nanos, fixed: Nanos, members: &[(usize, Nanos)],
     ) -> (Nanos, f64) {
-        let waited = members.iter().map(|(m, _)| Waited {
+        let waited = members.iter().map(|(m, _)| AskedMember {
             name: format!("n{m}"),
             zone: zone(*m),
             weight: self.world.members[*m].1,
-            lives: 1.0,
-            arrived: None,
+            liveness: 1.0,
+            answered_at: None,
         });
-        let mut open = Open { kind: MEMBERS, asked_at, limit, waited: waited.collect() };
-        let laws: Vec<Law> = match self.who {
+        let mut open = OpenQuery { kind: MEMBERS, asked_at, deadline: limit, members: waited.collect() };
+        let laws: Vec<LatencyDistribution> = match self.who {
             Who::Oracle => members.iter().map(|(m, _)| self.laws[*m].clone()).collect(),
             _ => Vec::new(),
         };
         let who = self.who;
         let world = self.world;
-        let until = |learned: &mut Learned, now: Nanos, open: &Open| match who {
-            Who::Learned(_) => learned.until(now, open),
+        let until = |learned: &mut LearnedDeadline, now: Nanos, open: &OpenQuery| match who {
+            Who::Learned(_) => learned.wait_until(now, open),
             Who::Oracle if world.times == Times::Shared => {
-                decide(&world.worth, now, open, &oracle_laws(now, open, &laws))
+                best_wait_end(&world.worth, now, open, &oracle_laws(now, open, &laws))
             }
-            Who::Oracle => decide(&world.worth, now, open, &laws),
-            Who::Cut(_) | Who::Fixed(..) | Who::P99 => (asked_at + fixed).min(open.limit),
+            Who::Oracle => best_wait_end(&world.worth, now, open, &laws),
+            Who::Cut(_) | Who::FixedDeadline(..) | Who::P99 => (asked_at + fixed).min(open.deadline),
         };
         let mut order: Vec<usize> = (0..members.len()).collect();
         order.sort_by_key(|i| members[*i].1);
@@ -267,9 +272,9 @@
                 break;
             }
             here += 1;
-            open.waited[*i].arrived = Some(asked_at + took);
+            open.members[*i].answered_at = Some(asked_at + took);
             if matches!(who, Who::Learned(_)) {
-                self.gatherers[g].arrived(MEMBERS, &format!("n{m}"), &zone(m), took, 0);
+                self.gatherers[g].record_answer(MEMBERS, &format!("n{m}"), &zone(m), took, 0);
             }
             end = match here == members.len() {
                 true => asked_at + took,
@@ -292,8 +297,8 @@
             let (_, g, kind, m, took) = next;
             let zone = if kind == MEMBERS { zone(m) } else { String::from("g") };
             match took < NEVER {
-                true => self.gatherers[g].arrived(kind, &format!("n{m}"), &zone, took, 0),
-                false => self.gatherers[g].missed(kind, &format!("n{m}"), &zone, NEVER),
+                true => self.gatherers[g].record_answer(kind, &format!("n{m}"), &zone, took, 0),
+                false => self.gatherers[g].record_missing(kind, &format!("n{m}"), &zone, NEVER),
             }
         }
     }
@@ -311,7 +316,7 @@
         };
         let whole: f64 = self.world.members.iter().map(|m| m.1).sum();
         let (mut open, mut arrivals) =
-            (Open { kind: GATHERED, asked_at, limit, waited: Vec::new() }, Vec::new());
+            (OpenQuery { kind: GATHERED, asked_at, deadline: limit, members: Vec::new() }, Vec::new());
         for g in 0..GATHERERS {
             let ways: [f64; 2] = [(); 2].map(|()| slow * 3.0 * (0.5 * normal(r)).exp());
             let [down, up] = ways.map(|w| (w * MS as f64) as Nanos);
@@ -321,12 +326,12 @@
             let (end, complete) = self.gather(g, asked_at + down, asked_at + down + lower, lower, &group);
             arrivals.push((end + up, g, complete, part, down + up));
             let (name, zone) = (format!("n{g}"), "g".to_owned());
-            open.waited.push(Waited { name, zone, weight: part, lives: 1.0, arrived: None });
+            open.members.push(AskedMember { name, zone, weight: part, liveness: 1.0, answered_at: None });
         }
         arrivals.sort_by_key(|a| a.0);
-        let learns = !matches!(self.who, Who::Fixed(..) | Who::P99);
-        let until = |root: &mut Learned, now: Nanos, open: &Open| match learns {
-            true => root.until(now, open),
+        let learns = !matches!(self.who, Who::FixedDeadline(..) | Who::P99);
+        let until = |root: &mut LearnedDeadline, now: Nanos, open: &OpenQuery| match learns {
+            true => root.wait_until(now, open),
             false => (asked_at + fixed.1).min(limit),
         };
         let mut end = until(&mut self.gatherers[0], asked_at, &open);
@@ -337,15 +342,15 @@
             }
             here += 1;
             got += complete * part;
-            open.waited[*g].arrived = Some(*at);
-            open.waited[*g].weight = part * complete;
-            let mut lost = open.waited[*g].clone();
-            (lost.weight, lost.lives, lost.arrived) =
-                (part * (1.0 - complete), micadyke_deadline::LOST, None);
-            open.waited.push(lost);
+            open.members[*g].answered_at = Some(*at);
+            open.members[*g].weight = part * complete;
+            let mut lost = open.members[*g].clone();
+            (lost.weight, lost.liveness, lost.answered_at) =
+                (part * (1.0 - complete), micadyke_deadline::KNOWN_MISSING, None);
+            open.members.push(lost);
             if learns {
-                self.gatherers[0].arrived(GATHERED, &format!("n{g}"), "g", at - asked_at, 0);
-                self.gatherers[0].arrived(WAY, &format!("n{g}"), "g", *way, 0);
+                self.gatherers[0].record_answer(GATHERED, &format!("n{g}"), "g", at - asked_at, 0);
+                self.gatherers[0].record_answer(WAY, &format!("n{g}"), "g", *way, 0);
             }
             end = if here == GATHERERS { *at } else { until(&mut self.gatherers[0], *at, &open).max(*at) };
         }
@@ -360,14 +365,15 @@
     fn run(&mut self, questions: std::ops::Range<usize>, slow: f64) -> Vec<f64> {
         let world = self.world;
         self.laws = world.laws(slow);
-        let mean = |t: Nanos| self.laws.iter().map(|l| l.by(t)).sum::<f64>() / self.laws.len() as f64;
+        let mean =
+            |t: Nanos| self.laws.iter().map(|l| l.probability_by(t)).sum::<f64>() / self.laws.len() as f64;
         self.p99 = (0..=10_000).map(|t| t * MS).find(|t| mean(*t) >= 0.99).unwrap_or(PATIENCE).min(PATIENCE);
         // Two ways of 3 ms: as one hump of their sum's median and spread.
-        let way = Law::of(|t| by_log_normal(t as f64 / MS as f64 / slow, 6.3, 0.36));
+        let way = LatencyDistribution::from_fn(|t| by_log_normal(t as f64 / MS as f64 / slow, 6.3, 0.36));
         let two = world.members.len() > FLAT;
         let factors = SHARED.iter().filter(|s| s.0 == 1.0 || world.times == Times::Shared);
         let splits = factors.map(|s| {
-            let below = Law::of(|t| mean((t as f64 / s.0) as Nanos));
+            let below = LatencyDistribution::from_fn(|t| mean((t as f64 / s.0) as Nanos));
             split(&world.worth, &below, &way, PATIENCE)
         });
         self.known = splits.max().unwrap_or_default();
@@ -379,7 +385,7 @@
                 .map(|m| (world.draw(&mut r, m) * slow * shared * MS as f64).min(1e15) as Nanos)
                 .collect();
             let fixed = match self.who {
-                Who::Fixed(below, all) => (below, all),
+                Who::FixedDeadline(below, all) => (below, all),
                 _ if two => (self.p99, self.p99 + (16.0 * slow * MS as f64) as Nanos),
                 _ => (self.p99, self.p99),
             };
@@ -390,21 +396,23 @@
                     self.gather(0, asked_at, asked_at + PATIENCE, fixed.1, &all)
                 }
             };
-            world.worth.after(complete, end - asked_at)
+            world.worth.value_after(complete, end - asked_at)
         };
         questions.map(one).collect()
     }
 }
 
 fn sim(world: &World, who: Who) -> Sim<'_> {
-    let settings = Settings { usual: world.worth.clone(), ..Settings::default() };
+    let settings = Settings { default_worth: world.worth.clone(), ..Settings::default() };
     let without = match who {
         Who::Learned(without) => without,
         _ => Some(Feature::Fade),
     };
     let two = world.members.len() > FLAT;
     let gatherers = (0..if two { GATHERERS } else { 1 })
-        .map(|_| Learned::new(settings.clone()).expect("settings as above are sound").without(without))
+        .map(|_| {
+            LearnedDeadline::new(settings.clone()).expect("settings as above are sound").without(without)
+        })
         .collect();
     Sim { world, who, gatherers, late: Late::new(), laws: Vec::new(), p99: 0, known: (0, 0) }
 }
@@ -451,7 +459,7 @@
     let world = World::new(members, times, price, seed);
     let sum = |of: &[f64], (from, to): (usize, usize)| of[from..to].iter().sum::<f64>();
     let two = members > FLAT;
-    let fixed = |part: f64, all: Nanos| Who::Fixed((all as f64 * part) as Nanos, all);
+    let fixed = |part: f64, all: Nanos| Who::FixedDeadline((all as f64 * part) as Nanos, all);
     let ten: Vec<Vec<f64>> = (0..10)
         .map(|i| (10.0 * MS as f64 * 1.6f64.powi(i)) as Nanos)
         .map(|span| run(&world, fixed(if two { 0.8 } else { 1.0 }, span)))
@@ -486,10 +494,10 @@
 
 /// Asks so often, with a fixed wait and a learned one in turn, so that both meet the same machine.
 pub fn cost(members: usize, questions: usize) -> Cost {
-    let settings = || Settings { usual: worth(0.001), ..Settings::default() };
+    let settings = || Settings { default_worth: worth(0.001), ..Settings::default() };
     let waits: [Box<dyn Deadline>; 2] = [
-        Box::new(micadyke_deadline::Fixed(150 * MS)),
-        Box::new(Learned::new(settings()).expect("settings as above are sound")),
+        Box::new(micadyke_deadline::FixedDeadline(150 * MS)),
+        Box::new(LearnedDeadline::new(settings()).expect("settings as above are sound")),
     ];
     let name = |n: usize| format!("n{n:04}");
     let mut both = waits.map(|wait| Asked::new(members, wait, &name));
@@ -533,7 +541,8 @@
         let mut others = keys.map(|k| (asker.owners(&k), k)).filter(|(o, _)| !o.contains(&name(0)));
         let (owners, key) = others.next().expect("there are others");
         let owners = owners.iter().map(|o| {
-            let mut d = Directory::new(Settings::new(o, 1), Box::new(micadyke_deadline::Fixed(MS)), 0);
+            let mut d =
+                Directory::new(Settings::new(o, 1), Box::new(micadyke_deadline::FixedDeadline(MS)), 0);
             see(&mut d);
             for n in 0..20 {
                 let session = Session::new(key.text(), &format!("v{n}"), &format!("s{n}"));
--- a/crates/lab/tests/choices.rs
+++ b/crates/lab/tests/choices.rs
@@ -1,7 +1,7 @@
 //! Subsets, turns and shared figures over a fleet, small enough for CI.
 
 use micadyke_lab::choices::{Draw, Followed, Follows, compare, follow, look};
-use micadyke_subset::Law;
+use micadyke_subset::ControlLaw;
 
 #[test]
 fn told_traffic_is_evened_out_and_a_join_moves_little() {
@@ -29,7 +29,8 @@
 #[test]
 fn each_answers_its_own_part_and_nothing_swings() {
     let run = |follows, lag: u64| {
-        let run = Followed { follows, part: 1.0, lag: lag * 250_000_000, life: 5.0, law: Law::default() };
+        let run =
+            Followed { follows, part: 1.0, lag: lag * 250_000_000, life: 5.0, law: ControlLaw::default() };
         follow(&run, 1, 60, 40)
     };
     for lag in [1, 16] {
--- a/crates/membership/src/clock.rs
+++ b/crates/membership/src/clock.rs
@@ -1,18 +1,18 @@
-//! Unix time, as all parts of a process read it: the machine's clock, which may be wrong by any amount and is read at the
-//! start alone where a duration is meant.
+//! Unix time for all parts of a process. The machine's clock may be wrong by any amount, so durations are not measured with
+//! it: where one is needed, the clock is read only once, at the start.
 
 use std::sync::OnceLock;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
 static SHIFT: OnceLock<i64> = OnceLock::new();
 
-/// Shifts this process's clock by so many seconds, as a machine's clock that was set wrong: for tests. To be called before
-/// the clock is first read; a second call changes nothing.
+/// Shifts this process's clock by a number of seconds, for tests of machines with a wrong clock. It must be called before
+/// the clock is read; only the first call has an effect.
 pub fn shift(seconds: i64) {
     let _ = SHIFT.set(seconds);
 }
 
-/// Time since 1970; 0 where the clock stands before.
+/// Unix time; 0 if the clock is set to a time before 1970.
 pub fn unix() -> Duration {
     let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
     let by = SHIFT.get().copied().unwrap_or(0);
--- a/crates/membership/src/error.rs
+++ b/crates/membership/src/error.rs
@@ -1,46 +1,46 @@
-//! What goes wrong around a member, and what can be done about it.
+//! Errors of a member and of operators' tools, with advice.
 
 use std::net::SocketAddr;
 
-/// Why a member does not run, or a view was not shown.
+/// Why a member can't run or a view can't be shown.
 #[derive(Debug, thiserror::Error)]
 #[non_exhaustive]
 pub enum Error {
-    /// The socket that the settings name cannot be had.
+    /// The socket can't be opened at the address in the settings.
     #[error("membership cannot listen on {at}: {why}")]
     Listen {
-        /// What `listen` says.
+        /// The address in `listen`.
         at: SocketAddr,
-        /// The system's word.
+        /// The error of the operating system.
         why: std::io::Error,
     },
-    /// There is no socket for asking.
+    /// No socket can be opened for a request.
     #[error("no socket: {0}")]
     Socket(std::io::Error),
-    /// The system knows no way there.
+    /// The operating system has no route to the address.
     #[error("{at}: {why}")]
-    NoWay {
-        /// Who was to be asked.
+    NoRoute {
+        /// The address of the member.
         at: SocketAddr,
-        /// The system's word.
+        /// The error of the operating system.
         why: std::io::Error,
     },
-    /// Nothing of this fleet came back.
+    /// No answer of this fleet was received.
     #[error("{at} does not answer: no member there, or of another fleet or key")]
     Silent {
-        /// Who was asked.
+        /// The address of the member.
         at: SocketAddr,
     },
-    /// Pages came, and the one with the summary was empty.
+    /// Pages were received, but the first one has no summary.
     #[error("{at} sent no first page")]
     NoSummary {
-        /// Who was asked.
+        /// The address of the member.
         at: SocketAddr,
     },
 }
 
 impl Error {
-    /// What an operator can do.
+    /// What an operator can do about the error.
     ///
     /// ```
     /// use micadyke_membership::Error;
@@ -50,15 +50,15 @@
     pub fn advice(&self) -> &'static str {
         match self {
             Error::Listen { .. } => {
-                "See whether 'listen' names an address of this machine, and which process holds the port (ss -ulpn)."
+                "Check whether 'listen' is an address of this machine, and which process uses the port (ss -ulpn)."
             }
-            Error::Socket(_) => "See how many descriptors this process may hold (ulimit -n).",
-            Error::NoWay { .. } => "See whether this machine has a way there (ip route get).",
+            Error::Socket(_) => "Check how many descriptors this process may open (ulimit -n).",
+            Error::NoRoute { .. } => "Check whether this machine has a route there (ip route get).",
             Error::Silent { .. } => {
-                "Compare 'fleet' and 'key-file' with the member's, and see whether it runs and UDP gets there and back."
+                "Compare 'fleet' and 'key-file' with the member's, and check whether it runs and UDP works in both directions."
             }
             Error::NoSummary { .. } => {
-                "Ask again, or ask another member; the programs may be of different versions."
+                "Retry, or ask another member; the programs may have different versions."
             }
         }
     }
--- a/crates/membership/src/frame.rs
+++ b/crates/membership/src/frame.rs
@@ -1,148 +1,148 @@
-//! Datagrams: what is not of this fleet is dropped before it is read.
+//! The format of datagrams. Datagrams that are not of this fleet are dropped before their content is decoded.
 //!
 //! ```text
 //! datagram = "mdy" version:1 fleet:8 head payload mac:16
 //! ```
 //!
-//! `fleet` is the beginning of the SHA-256 of the fleet's name, `mac` that of the HMAC-SHA-256 (RFC 2104) of all before
-//! it, by the key that all members were given. Head and payload are postcard's.
+//! `fleet` is the beginning of the SHA-256 of the fleet's name, and `mac` the beginning of the HMAC-SHA-256 (RFC 2104) of
+//! all preceding bytes with the fleet's key. Head and payload are encoded by postcard.
 
 use crate::identity::Member;
 use hmac::{Hmac, Mac};
 use serde::{Deserialize, Serialize};
 use sha2::{Digest, Sha256};
 
-/// Bytes of a datagram at most: under the least MTU of usual networks, so that none is cut up on its way.
-pub const LONGEST: usize = 1400;
-/// Bytes that frame and head take at most.
-pub const OVERHEAD: usize = 176;
-/// Bytes that are left for a payload.
-pub const ROOM: usize = LONGEST - OVERHEAD;
-/// Bytes of a key at least.
-pub const KEY: usize = 16;
+/// Maximum size of a datagram in bytes, below the MTU of usual networks, so that none is fragmented.
+pub const MAX_DATAGRAM_BYTES: usize = 1400;
+/// Maximum number of bytes that frame and head take.
+pub const MAX_OVERHEAD_BYTES: usize = 176;
+/// Maximum size of a payload in bytes.
+pub const MAX_PAYLOAD_BYTES: usize = MAX_DATAGRAM_BYTES - MAX_OVERHEAD_BYTES;
+/// Minimum length of a key in bytes.
+pub const MIN_KEY_BYTES: usize = 16;
 const MAGIC: &[u8; 3] = b"mdy";
-/// Version of the format; others are dropped, and counted as such.
+/// Version of the format. Datagrams of other versions are dropped and counted.
 pub const VERSION: u8 = 1;
-const TAG: usize = 8;
-const MAC: usize = 16;
+const FLEET_TAG_BYTES: usize = 8;
+const MAC_BYTES: usize = 16;
 
-/// What a datagram is.
+/// The kind of a datagram. The order of the variants is part of the format.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Kind {
-    /// A message of SWIM is in the payload.
+    /// The payload is a message of the SWIM library.
     Swim,
-    /// Is anybody there?
+    /// Asks whether a member is there.
     Hello,
     /// The answer to [`Kind::Hello`].
     Welcome,
-    /// The name of whom this goes to is known with a later start.
+    /// The sender knows a later start of the receiver's name.
     Outranked {
         /// The latest start known.
         start: u64,
-        /// The sender takes the process of that start for living.
+        /// The sender believes that the process of that start is alive.
         alive: bool,
     },
-    /// Whom this goes to is suspected by the sender.
+    /// The sender suspects the receiver.
     Suspected {
-        /// At this incarnation.
+        /// The incarnation of the receiver that is suspected.
         incarnation: u16,
     },
-    /// News of servers is in the payload.
-    News,
-    /// A word about shares is in the payload.
+    /// The payload contains reports about servers.
+    ServerReports,
+    /// The payload is a message about budget shares.
     Share,
-    /// A page of the view is asked for; by people's tools, which are no members.
-    Ask {
-        /// Which, from 0.
+    /// Requests a page of the view. Sent by operators' tools, which are not members.
+    PageRequest {
+        /// The number of the page, from 0.
         page: u16,
     },
-    /// A page of the view, in the payload.
+    /// The payload is a page of the view.
     Page,
-    /// Members that went are named in the payload, to one whose view differs.
-    Gone,
-    /// The payload is another package's, under its number.
-    Topic(u8),
-    /// A word about one that is suspected is in the payload.
-    Doubt,
+    /// The payload lists members that are gone, for a receiver with a different view.
+    Removed,
+    /// The payload is a message of the package with this number.
+    Message(u8),
+    /// The payload is a message about a suspected member.
+    Suspicion,
 }
 
-/// What stands ahead of each payload.
+/// The head that precedes each payload.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Head {
-    /// What this is.
+    /// The kind of the datagram.
     pub kind: Kind,
-    /// Who sends it.
+    /// The sender.
     pub sender: Member,
-    /// Digest of the sender's view.
+    /// The digest of the sender's view.
     pub digest: u64,
-    /// Members in it that live.
+    /// The number of members that are alive in the sender's view.
     pub members: u32,
 }
 
 /// Why a datagram was dropped.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Dropped {
-    /// Too short or too long to be one.
+    /// It is too short or too long.
     Size,
-    /// Not of this protocol.
-    Foreign,
-    /// Of another version of it.
+    /// It is not of this protocol.
+    UnknownProtocol,
+    /// It has another version of the protocol.
     Version,
-    /// Of another fleet.
+    /// It belongs to another fleet.
     Fleet,
-    /// Not by a holder of the key.
+    /// Its authentication code is wrong.
     Forged,
-    /// By a holder of the key, and yet not to be read.
+    /// It is authentic but can't be decoded.
     Malformed,
 }
 
-/// A fleet's name and key.
+/// Encodes and decodes datagrams with a fleet's name and key.
 #[derive(Clone)]
-pub struct Seal {
-    tag: [u8; TAG],
+pub struct FrameCodec {
+    tag: [u8; FLEET_TAG_BYTES],
     mac: Hmac<Sha256>,
 }
 
-impl std::fmt::Debug for Seal {
+impl std::fmt::Debug for FrameCodec {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        f.debug_struct("Seal").field("tag", &self.tag).finish_non_exhaustive()
+        f.debug_struct("FrameCodec").field("tag", &self.tag).finish_non_exhaustive()
     }
 }
 
-impl Seal {
-    /// The seal of a fleet; `None` where the key is shorter than [`KEY`].
+impl FrameCodec {
+    /// The codec of a fleet; `None` if the key is shorter than [`MIN_KEY_BYTES`].
     pub fn new(fleet: &str, key: &[u8]) -> Option<Self> {
-        let mac = Hmac::new_from_slice(key).ok().filter(|_| key.len() >= KEY)?;
-        let mut tag = [0; TAG];
-        tag.copy_from_slice(&Sha256::digest(fleet.as_bytes())[..TAG]);
-        Some(Seal { tag, mac })
+        let mac = Hmac::new_from_slice(key).ok().filter(|_| key.len() >= MIN_KEY_BYTES)?;
+        let mut tag = [0; FLEET_TAG_BYTES];
+        tag.copy_from_slice(&Sha256::digest(fleet.as_bytes())[..FLEET_TAG_BYTES]);
+        Some(FrameCodec { tag, mac })
     }
 
-    /// A datagram; `None` where the payload is too long for one.
-    pub fn close(&self, head: &Head, payload: &[u8]) -> Option<Vec<u8>> {
-        let mut bytes = Vec::with_capacity(LONGEST);
+    /// Encodes a datagram; `None` if the payload is too long.
+    pub fn encode(&self, head: &Head, payload: &[u8]) -> Option<Vec<u8>> {
+        let mut bytes = Vec::with_capacity(MAX_DATAGRAM_BYTES);
         bytes.extend_from_slice(MAGIC);
         bytes.push(VERSION);
         bytes.extend_from_slice(&self.tag);
         let mut bytes = postcard::to_extend(head, bytes).ok()?;
         bytes.extend_from_slice(payload);
         let mac = self.mac.clone().chain_update(&bytes).finalize().into_bytes();
-        bytes.extend_from_slice(&mac[..MAC]);
-        (bytes.len() <= LONGEST).then_some(bytes)
+        bytes.extend_from_slice(&mac[..MAC_BYTES]);
+        (bytes.len() <= MAX_DATAGRAM_BYTES).then_some(bytes)
     }
 
-    /// Head and payload of a datagram.
+    /// Decodes a datagram into head and payload.
     ///
     /// # Errors
     ///
-    /// Why it is none of this fleet; nothing of it was read before the key was checked.
-    pub fn open<'b>(&self, bytes: &'b [u8]) -> Result<(Head, &'b [u8]), Dropped> {
-        let start = MAGIC.len() + 1 + TAG;
-        if bytes.len() <= start + MAC || bytes.len() > LONGEST {
+    /// Why the datagram is not accepted. The authentication code is checked before the content is decoded.
+    pub fn decode<'b>(&self, bytes: &'b [u8]) -> Result<(Head, &'b [u8]), Dropped> {
+        let start = MAGIC.len() + 1 + FLEET_TAG_BYTES;
+        if bytes.len() <= start + MAC_BYTES || bytes.len() > MAX_DATAGRAM_BYTES {
             return Err(Dropped::Size);
         }
         if !bytes.starts_with(MAGIC) {
-            return Err(Dropped::Foreign);
+            return Err(Dropped::UnknownProtocol);
         }
         if bytes[MAGIC.len()] != VERSION {
             return Err(Dropped::Version);
@@ -150,7 +150,7 @@
         if bytes[MAGIC.len() + 1..start] != self.tag {
             return Err(Dropped::Fleet);
         }
-        let (body, mac) = bytes.split_at(bytes.len() - MAC);
+        let (body, mac) = bytes.split_at(bytes.len() - MAC_BYTES);
         self.mac.clone().chain_update(body).verify_truncated_left(mac).map_err(|_| Dropped::Forged)?;
         postcard::take_from_bytes(&body[start..]).map_err(|_| Dropped::Malformed)
     }
--- a/crates/membership/src/identity.rs
+++ b/crates/membership/src/identity.rs
@@ -1,30 +1,30 @@
-//! Who a member is: a name, an address and a start.
+//! The identity of a member: a name, an address and a start number.
 
 use serde::{Deserialize, Serialize};
 use sha2::{Digest, Sha256};
 use std::net::SocketAddr;
 
-/// Bytes of a name at most.
-pub const NAME: usize = 64;
-/// Members known at most, those that are gone included; what names more is dropped.
-pub const MOST_MEMBERS: usize = 4096;
+/// Maximum length of a name in bytes.
+pub const MAX_NAME_BYTES: usize = 64;
+/// Maximum number of known members, including those that are gone. Datagrams of further members are dropped.
+pub const MAX_MEMBERS: usize = 4096;
 
-/// A process that takes part. Of two under one name the later start wins, whatever their clocks say: a start that finds
-/// a later one known counts on from there.
+/// A process that takes part in the fleet. Of two processes with one name the later start wins. This does not depend on
+/// clocks: a process that learns of a higher start number when it starts continues from there.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(try_from = "Plain")]
 pub struct Member {
-    /// Its name; the same after a restart.
+    /// Its name, which stays the same after a restart.
     pub name: String,
-    /// Where it takes datagrams.
+    /// Its address for datagrams.
     pub addr: SocketAddr,
-    /// Its start: a number that grows with each process under this name.
+    /// Its start number, which increases with each process of this name.
     pub start: u64,
-    /// How often this start was given up by the others and took its place again.
+    /// How often this process rejoined after the others had declared it down.
     pub turn: u32,
-    /// It takes its leave.
+    /// It is leaving the fleet.
     pub leaving: bool,
-    /// Stands for the name where names are compared with those of all others, at each update.
+    /// A hash of the name, for fast comparison with the names of all other members at each update.
     #[serde(skip_serializing)]
     pub(crate) key: Key,
 }
@@ -54,9 +54,9 @@
 
     fn try_from(p: Plain) -> Result<Self, Self::Error> {
         let Plain { name, addr, start, turn, leaving } = p;
-        match Member::sound_name(&name) {
+        match Member::is_valid_name(&name) {
             true => Ok(Member { key: Key::of(&name), name, addr, start, turn, leaving }),
-            false => Err("a name that no member bears"),
+            false => Err("invalid name of a member"),
         }
     }
 }
@@ -67,13 +67,13 @@
         Member { key: Key::of(name), name: name.to_owned(), addr, start, turn: 0, leaving: false }
     }
 
-    /// Whether a member may bear this name.
-    pub fn sound_name(name: &str) -> bool {
+    /// Whether this is a valid name of a member.
+    pub fn is_valid_name(name: &str) -> bool {
         let plain = |b: u8| b.is_ascii_alphanumeric() || b"-_.".contains(&b);
-        !name.is_empty() && name.len() <= NAME && name.bytes().all(plain)
+        !name.is_empty() && name.len() <= MAX_NAME_BYTES && name.bytes().all(plain)
     }
 
-    /// Of two under one name the higher rank wins; the address only keeps the order total.
+    /// Of two identities with one name the higher rank wins. The address only makes the order total.
     pub(crate) fn rank(&self) -> (u64, u32, bool, SocketAddr) {
         (self.start, self.turn, self.leaving, self.addr)
     }
@@ -82,7 +82,7 @@
 impl foca::Identity for Member {
     type Addr = Key;
 
-    /// Given up by the others though it lives: the same start takes its next turn.
+    /// The identity with which a member rejoins that was declared down although it is alive.
     fn renew(&self) -> Option<Self> {
         let turn = self.turn.checked_add(1).filter(|_| !self.leaving)?;
         Some(Member { turn, ..self.clone() })
--- a/crates/membership/src/io.rs
+++ b/crates/membership/src/io.rs
@@ -1,196 +1,196 @@
-//! What goes into a view and what comes out of it.
+//! Inputs and outputs of the view.
 
 use crate::Nanos;
 use crate::identity::Member;
-use crate::letter::Letter;
-use crate::news::News;
-use crate::share::Part;
-use crate::status::Returning;
+use crate::message::Message;
+use crate::server_report::ServerReport;
+use crate::share::BudgetShare;
+use crate::status::RecoveryStatus;
 use std::net::SocketAddr;
 
-/// Something that happened.
+/// An input of the view.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Input<'a> {
-    /// A datagram came.
+    /// A datagram has arrived.
     Datagram {
-        /// Where from: answers to tools go there.
+        /// The address of the sender, to which requests of tools are answered.
         from: SocketAddr,
         /// The bytes.
         bytes: &'a [u8],
     },
     /// [`crate::View::wake_at`] is due.
-    Wake,
-    /// This member takes its leave: the others are told, and nothing is sent after that.
+    Timer,
+    /// This member leaves the fleet: it notifies the others and sends nothing afterwards.
     Leave,
-    /// This member found something out that the others should hear.
-    Tell(&'a News),
-    /// The machine of this member refused the call that [`Output::Prove`] asked for.
-    Refused {
+    /// This member reports something about a server to the others.
+    PublishReport(&'a ServerReport),
+    /// The machine of a member refused the connection that [`Output::ProbeAddress`] asked for.
+    ConnectionRefused {
         /// The member.
         name: &'a str,
-        /// When the call was made.
-        called: Nanos,
+        /// When the probe was sent.
+        probed_at: Nanos,
     },
-    /// How far this member's return from a power loss is, for people's tools; `None`: it is in service.
-    Returning(Option<&'a Returning>),
-    /// A letter to the member that it names, on whatever stands on the view. It goes at once or never: as any datagram it
-    /// may be lost, and [`crate::View::letters`] counts what was not sent, and why.
-    Send(&'a Letter),
+    /// The progress of this member's recovery after a power loss, for operators' tools; `None`: it is in service.
+    Recovery(Option<&'a RecoveryStatus>),
+    /// Sends a message of another package. It is sent at once or dropped, which [`crate::View::message_counts`] counts; like
+    /// any datagram it may be lost.
+    SendMessage(&'a Message),
 }
 
-/// Something to be done, or told.
+/// An output of the view.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Output {
-    /// A datagram is to be sent.
+    /// Send a datagram.
     Send {
-        /// Where to.
+        /// The address.
         to: SocketAddr,
         /// The bytes.
         bytes: Vec<u8>,
     },
-    /// This address is to be called; where its machine says that nobody listens there, [`Input::Refused`] follows.
-    Prove {
-        /// The member that is thought to be dead.
+    /// Probe an address. If its machine reports that nobody listens there, [`Input::ConnectionRefused`] is expected.
+    ProbeAddress {
+        /// The member that is believed to be dead.
         name: String,
         /// Its address.
         to: SocketAddr,
     },
-    /// The view changed.
-    Told(Change),
-    /// A letter came from the member that it names, which this view holds for living by that start.
-    Letter(Letter),
+    /// The view has changed.
+    Changed(Change),
+    /// A message of another package has arrived. Its sender is alive by this view, with the same start number.
+    Message(Message),
 }
 
 /// A change of the view.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Change {
-    /// A member is there.
+    /// A member has joined.
     Up(Member),
-    /// A member went without a word.
+    /// A member has failed: it did not answer, and has not left.
     Down(Member),
-    /// A member took its leave.
+    /// A member has left.
     Left(Member),
-    /// A member does not answer, and may soon be given up. It lives for as long as that is not told.
+    /// A member does not answer and may soon be declared down. Until then it counts as alive.
     Suspected(Member),
-    /// A member that was suspected showed that it lives.
+    /// A suspected member has shown that it is alive.
     Cleared(Member),
-    /// A member is another start of its name, or took its place again.
+    /// A member has another start under the same name, or has rejoined.
     Renewed {
-        /// Who bore the name.
+        /// The previous identity.
         old: Member,
-        /// Who bears it.
+        /// The new identity.
         new: Member,
     },
-    /// The others had given this member up; it took its place again, as this.
+    /// The others had declared this member down; it has rejoined with this identity.
     Rejoined(Member),
-    /// A later start under this member's name lives: this one is silent until that is gone.
+    /// A later start under this member's name is alive. This process stays silent until the later one is gone.
     Superseded {
-        /// The later start.
+        /// The later start number.
         by: u64,
     },
-    /// Another member tells of a server; it is this old.
-    Heard {
-        /// What.
-        news: News,
+    /// Another member has reported something about a server.
+    ServerReported {
+        /// The report.
+        report: ServerReport,
         /// Its age.
         age: Nanos,
     },
-    /// The part of the common budget that this member may use is another one.
-    Part(Part),
-    /// All that was heard agrees, and nothing changed for a while.
+    /// The share of the common budget that this member may use has changed.
+    ShareChanged(BudgetShare),
+    /// The view is settled: it has not changed for a while, and no other member disagrees.
     Settled {
-        /// Members that live.
+        /// Number of members that are alive.
         members: usize,
-        /// What they agree on.
+        /// The digest of the view.
         digest: u64,
     },
-    /// No longer so.
+    /// The view is no longer settled.
     Unsettled(Unsettled),
-    /// This process stood still for so long; silence during that time counts for nothing.
-    StoodStill {
-        /// How long.
-        span: Nanos,
+    /// This process was stalled. Missing answers during that time are ignored.
+    Stalled {
+        /// The duration of the stall.
+        duration: Nanos,
     },
 }
 
 /// Why a view is not settled.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Unsettled {
-    /// It changed less than the stated number of periods ago.
+    /// It has changed recently.
     Changed,
-    /// This member sees something else.
-    Differs(String),
-    /// Others should be there, and none answers.
-    Nobody,
-    /// This member is superseded, or has left.
-    Out,
+    /// This member has a different view.
+    Disagreement(String),
+    /// There should be other members, but none answers.
+    NoContact,
+    /// This member is superseded or has left.
+    Inactive,
 }
 
-/// A member's state in the view.
+/// The state of a member in the view.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub enum State {
     /// It answers.
     Alive,
-    /// It did not answer; it has a while to say that it lives.
+    /// It did not answer, but still has time to do so.
     Suspect,
-    /// It went without a word.
+    /// It has failed.
     Down,
-    /// It took its leave.
+    /// It has left.
     Left,
 }
 
-/// Counts since the start.
+/// Counters since the start.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct Counts {
-    /// Datagrams sent, and their bytes.
+    /// Datagrams sent.
     pub sent: u64,
-    /// See `sent`.
+    /// Bytes sent.
     pub sent_bytes: u64,
-    /// Datagrams taken.
+    /// Datagrams accepted.
     pub taken: u64,
-    /// Not sent, for the rate was used up.
+    /// Datagrams not sent because of the rate limit.
     pub held_back: u64,
-    /// Dropped: size, foreign, version, fleet, forged, malformed.
+    /// Datagrams dropped by reason, in the order of [`crate::frame::Dropped`].
     pub dropped: [u64; 6],
-    /// Dropped: a start that is outranked.
+    /// Datagrams dropped because a later start of the sender is known.
     pub outranked: u64,
-    /// Members given up.
+    /// Members declared down.
     pub given_up: u64,
-    /// How often the others gave this member up though it lived.
+    /// How often the others declared this member down although it was alive.
     pub rejoined: u64,
-    /// How often this process stood still.
+    /// How often this process was stalled.
     pub stood_still: u64,
 }
 
-/// What the view does beyond the library's SWIM.
+/// The extensions of the library's SWIM protocol. Tests and measurements switch one off to show its effect.
 #[doc(hidden)]
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Feature {
-    /// A process that stood still accuses nobody.
-    Guard,
-    /// Suspects that speak are told.
+    /// A process that was stalled suspects nobody for answers missed meanwhile.
+    StallGuard,
+    /// Suspected members that send a message are notified of the suspicion.
     Buddy,
-    /// One whose view differs is asked who lives.
-    Mend,
-    /// It is told who went.
-    Gone,
-    /// Those that are missing are called though others are there.
-    Call,
+    /// A member with a different view is asked which members are alive.
+    Reconcile,
+    /// It is also told which members are gone.
+    NameRemoved,
+    /// Missing members are called even if others are there.
+    CallMissing,
     /// Others are asked to confirm a suspicion, which shortens it.
     Confirm,
-    /// A suspect's machine is called, and a refusal ends the suspicion.
-    Prove,
-    /// Both of these.
-    Doubt,
+    /// The address of a suspect is probed; a refused connection ends the suspicion.
+    Probe,
+    /// Both `Confirm` and `Probe`.
+    Suspicion,
 }
 
 impl std::fmt::Display for Unsettled {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
             Unsettled::Changed => f.write_str("changed a moment ago"),
-            Unsettled::Differs(name) => write!(f, "{name} sees something else"),
-            Unsettled::Nobody => f.write_str("nobody answers"),
-            Unsettled::Out => f.write_str("superseded by a later start, or left"),
+            Unsettled::Disagreement(name) => write!(f, "{name} sees something else"),
+            Unsettled::NoContact => f.write_str("nobody answers"),
+            Unsettled::Inactive => f.write_str("superseded by a later start, or left"),
         }
     }
 }
--- a/crates/membership/src/view.rs
+++ b/crates/membership/src/view.rs
@@ -1,220 +1,233 @@
-//! The view: who is there, as far as this member knows, and whether the others see the same.
+//! The view of one member: which members are alive as far as it knows, and whether the others agree.
 //!
-//! A carrier, and topics on it: who lives, shares, news of servers, letters of other packages. The view hands each its
-//! datagrams and its turns.
+//! It consists of a transport and the sub-protocols on it: failure detection, budget shares, reports about servers and
+//! messages of other packages. The view dispatches datagrams and timers to them.
 
-use crate::carrier::Carrier;
-use crate::frame::{Head, Kind, ROOM, Seal};
+use crate::budget_shares::BudgetShares;
+use crate::failure_detector::FailureDetector;
+use crate::frame::{FrameCodec, Head, Kind, MAX_PAYLOAD_BYTES};
 use crate::identity::Member;
 use crate::io::{Counts, Feature, Input, Output, Unsettled};
-use crate::letter::Letters;
-use crate::lives::Lives;
-use crate::parts::Parts;
-use crate::posts::Posts;
+use crate::message::MessageCounts;
+use crate::message_relay::MessageRelay;
+use crate::report_gossip::ReportGossip;
 use crate::settings::Settings;
-use crate::share::{Part, Word};
-use crate::spread::Spread;
-use crate::status::{self, Returning, Row, Summary};
-use crate::topic::Topic;
+use crate::share::{BudgetShare, ShareMessage};
+use crate::status::{self, RecoveryStatus, Row, Summary};
+use crate::sub_protocol::SubProtocol;
+use crate::transport::Transport;
 use crate::{MS, Nanos};
 use std::net::SocketAddr;
 
 /// A member's view of its fleet.
 ///
 /// ```
-/// use micadyke_membership::{Input, Output, SECOND, Settings, View, frame::Seal};
+/// use micadyke_membership::{Input, Output, SECOND, Settings, View, frame::FrameCodec};
 ///
-/// let seal = Seal::new("test", b"a key of sixteen bytes").expect("long enough");
+/// let codec = FrameCodec::new("test", b"a key of sixteen bytes").expect("long enough");
 /// let mut settings = Settings::new("test", "n1", ([10, 0, 0, 1], 7946).into());
 /// settings.seeds = vec![([10, 0, 0, 2], 7946).into()];
-/// let mut view = View::new(settings, seal, 1, 7, SECOND);
+/// let mut view = View::new(settings, codec, 1, 7, SECOND);
 /// let mut out = Vec::new();
-/// view.handle(SECOND, Input::Wake, &mut out);
-/// // It calls its seed, and knows nobody but itself.
+/// view.handle(SECOND, Input::Timer, &mut out);
+/// // It contacts its seed and knows no other member.
 /// assert!(matches!(&out[0], Output::Send { to, .. } if to.port() == 7946));
-/// assert_eq!((view.living(), view.settled().is_ok()), (1, false));
+/// assert_eq!((view.alive_count(), view.check_settled().is_ok()), (1, false));
 /// ```
 pub struct View {
-    on: Carrier,
-    lives: Lives,
-    /// Where shares are on.
-    parts: Option<Parts>,
-    spread: Spread,
-    posts: Posts,
-    /// How far its return is, and when that was told.
-    returning: Option<(Returning, Nanos)>,
+    transport: Transport,
+    failure_detector: FailureDetector,
+    /// Present if shares are in use.
+    budget_shares: Option<BudgetShares>,
+    report_gossip: ReportGossip,
+    message_relay: MessageRelay,
+    /// The progress of recovery, and when it was updated.
+    recovery: Option<(RecoveryStatus, Nanos)>,
 }
 
 impl std::fmt::Debug for View {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        let book = &self.on.book;
-        f.debug_struct("View").field("me", &book.me).field("living", &book.living()).finish_non_exhaustive()
+        let members = &self.transport.members;
+        f.debug_struct("View")
+            .field("me", &members.own)
+            .field("living", &members.alive_count())
+            .finish_non_exhaustive()
     }
 }
 
 impl View {
-    /// The view of a member that has just started; it knows its seeds alone. `start` grows with each start where the
-    /// clock allows it; `seed` is for chance.
-    pub fn new(settings: Settings, seal: Seal, start: u64, seed: u64, now: Nanos) -> Self {
-        let me = Member::new(&settings.name, settings.advertise, start);
+    /// The view of a member that has just started and knows only its seeds. `start` is its start number, `seed` that of the
+    /// random generator.
+    pub fn new(settings: Settings, codec: FrameCodec, start: u64, seed: u64, now: Nanos) -> Self {
+        let own = Member::new(&settings.name, settings.advertise, start);
         View {
-            lives: Lives::new(&settings, me.clone(), seed, now),
-            parts: settings.shares.map(|terms| Parts::new(terms, &me.name, start, now)),
-            spread: Spread::new(),
-            posts: Posts::default(),
-            returning: None,
-            on: Carrier::new(settings, seal, me, !seed, now),
+            failure_detector: FailureDetector::new(&settings, own.clone(), seed, now),
+            budget_shares: settings.shares.map(|shares| BudgetShares::new(shares, &own.name, start, now)),
+            report_gossip: ReportGossip::new(),
+            message_relay: MessageRelay::default(),
+            recovery: None,
+            transport: Transport::new(settings, codec, own, !seed, now),
         }
     }
 
-    /// This member as it now stands.
+    /// The current identity of this member.
     pub fn me(&self) -> &Member {
-        &self.on.book.me
+        &self.transport.members.own
     }
 
-    /// What was counted.
+    /// Counters since the start.
     pub fn counts(&self) -> Counts {
-        self.on.counts
+        self.transport.counts
     }
 
-    /// What became of the letters of other packages.
-    pub fn letters(&self) -> Letters {
-        self.posts.counts
+    /// Counters of the messages of other packages.
+    pub fn message_counts(&self) -> MessageCounts {
+        self.message_relay.counts
     }
 
-    /// Digest of those that live, this member included.
+    /// The digest of the members that are alive, including this one.
     pub fn digest(&self) -> u64 {
-        self.on.book.digest()
+        self.transport.members.digest()
     }
 
-    /// How many live as far as this member knows, itself included.
-    pub fn living(&self) -> usize {
-        self.on.book.living()
+    /// Number of members that are alive as far as this member knows, including itself.
+    pub fn alive_count(&self) -> usize {
+        self.transport.members.alive_count()
     }
 
-    /// All others known, by name.
+    /// All other known members, by name, and whether they are alive.
     pub fn members(&self) -> impl Iterator<Item = (&Member, bool)> {
-        self.on.book.known.values().map(|k| (&k.member, k.active))
+        self.transport.members.entries.values().map(|k| (&k.member, k.active))
     }
 
-    /// Sizes of the books: names known, timers, updates that wait.
-    pub fn books(&self) -> [usize; 3] {
-        let [timers, updates] = self.lives.books();
-        [self.on.book.known.len(), timers, updates]
+    /// Sizes of the state: known names, timers and pending updates.
+    pub fn sizes(&self) -> [usize; 3] {
+        let [timers, updates] = self.failure_detector.sizes();
+        [self.transport.members.entries.len(), timers, updates]
     }
 
-    /// Takes a feature out, for tests and measurements that show what it is good for.
+    /// Switches a feature off, for tests and measurements that show its effect.
     #[doc(hidden)]
     pub fn without(mut self, feature: Option<Feature>) -> Self {
-        self.lives.without = feature;
+        self.failure_detector.without = feature;
         self
     }
 
-    /// Whether the view is settled, and why not.
-    pub fn settled(&self) -> Result<(), Unsettled> {
-        self.on.book.settled(self.on.now)
+    /// Checks whether the view is settled.
+    ///
+    /// # Errors
+    ///
+    /// Why it is not settled.
+    pub fn check_settled(&self) -> Result<(), Unsettled> {
+        self.transport.members.check_settled(self.transport.now)
     }
 
-    /// The part of the common budget that this member may use now; `None` where shares are off.
-    pub fn part(&self) -> Option<Part> {
-        self.parts.as_ref().map(|p| p.part(self.on.now))
+    /// The share of the common budget that this member may use now; `None` if shares are not in use.
+    pub fn budget_share(&self) -> Option<BudgetShare> {
+        self.budget_shares.as_ref().map(|p| p.current_share(self.transport.now))
     }
 
-    /// When [`Input::Wake`] is due.
+    /// When [`Input::Timer`] is due.
     pub fn wake_at(&self) -> Nanos {
-        if self.on.book.has_left() {
+        if self.transport.members.has_left() {
             return Nanos::MAX;
         }
-        let parts = self.parts.as_ref().map_or(Nanos::MAX, Topic::due);
-        self.lives.due().min(parts).min(self.spread.due()).min(self.posts.due())
+        let shares = self.budget_shares.as_ref().map_or(Nanos::MAX, SubProtocol::wake_at);
+        self.failure_detector
+            .wake_at()
+            .min(shares)
+            .min(self.report_gossip.wake_at())
+            .min(self.message_relay.wake_at())
     }
 
-    /// Takes one input at time `now`; what is to be done is appended to `out`, in order.
+    /// Handles one input at time `now` and appends the outputs to `out`, in order.
     ///
-    /// After a time without a turn, datagrams that came meanwhile are to be handed over before [`Input::Wake`].
+    /// After a stall of the process, the datagrams that arrived meanwhile must be handled before [`Input::Timer`].
     pub fn handle(&mut self, now: Nanos, input: Input, out: &mut Vec<Output>) {
-        let on = &mut self.on;
-        on.now = on.now.max(now);
-        if !on.book.has_left() {
-            self.lives.stood_still(on);
+        let transport = &mut self.transport;
+        transport.now = transport.now.max(now);
+        if !transport.members.has_left() {
+            self.failure_detector.check_stall(transport);
             match input {
-                Input::Datagram { from, bytes } => self.datagram(from, bytes),
-                Input::Wake => {
-                    self.lives.say(on);
-                    self.parts.iter_mut().for_each(|p| p.say(on));
-                    self.spread.say(on);
-                    self.posts.say(on);
+                Input::Datagram { from, bytes } => self.handle_datagram(from, bytes),
+                Input::Timer => {
+                    self.failure_detector.on_timer(transport);
+                    self.budget_shares.iter_mut().for_each(|p| p.on_timer(transport));
+                    self.report_gossip.on_timer(transport);
+                    self.message_relay.on_timer(transport);
                 }
-                Input::Leave => self.lives.leave(on),
-                Input::Tell(news) => self.spread.tell(on, news),
-                Input::Refused { name, called } => {
-                    // Who is suspected was called for that.
-                    if !self.lives.refused(on, name, called) {
-                        self.parts.iter_mut().for_each(|p| p.refused(on, now, name, called));
+                Input::Leave => self.failure_detector.leave(transport),
+                Input::PublishReport(report) => self.report_gossip.publish(transport, report),
+                Input::ConnectionRefused { name, probed_at } => {
+                    // If the member is suspected, the probe was sent because of that.
+                    if !self.failure_detector.connection_refused(transport, name, probed_at) {
+                        self.budget_shares
+                            .iter_mut()
+                            .for_each(|p| p.connection_refused(transport, now, name, probed_at));
                     }
                 }
-                Input::Send(letter) => self.posts.send(on, letter),
-                Input::Returning(told) => self.returning = told.map(|r| (r.clone(), now)),
+                Input::SendMessage(message) => self.message_relay.send(transport, message),
+                Input::Recovery(told) => self.recovery = told.map(|r| (r.clone(), now)),
             }
-            self.lives.settle(&mut self.on);
-            self.parts.iter_mut().for_each(|p| p.tell(&mut self.on));
+            self.failure_detector.update_settled(&mut self.transport);
+            self.budget_shares.iter_mut().for_each(|p| p.emit_changes(&mut self.transport));
         }
-        out.append(&mut self.on.out);
+        out.append(&mut self.transport.out);
     }
 
-    fn datagram(&mut self, from: SocketAddr, bytes: &[u8]) {
-        let Some((head, payload)) = self.on.open(bytes) else { return };
-        if let Kind::Ask { page } = head.kind {
+    fn handle_datagram(&mut self, from: SocketAddr, bytes: &[u8]) {
+        let Some((head, payload)) = self.transport.open_datagram(bytes) else { return };
+        if let Kind::PageRequest { page } = head.kind {
             let page = match page {
-                status::RETURNING => status::returning_page(self.returning().as_ref()),
-                _ => status::page(&self.summary(), &self.rows(), page, ROOM),
+                status::RECOVERY_PAGE => status::recovery_page(self.recovery_status().as_ref()),
+                _ => status::encode_page(&self.summary(), &self.rows(), page, MAX_PAYLOAD_BYTES),
             };
-            return self.on.send(from, Kind::Page, &page);
+            return self.transport.send(from, Kind::Page, &page);
         }
-        if self.lives.admits(&mut self.on, &head) {
-            self.hear(head, payload);
+        if self.failure_detector.accepts_sender(&mut self.transport, &head) {
+            self.dispatch(head, payload);
         }
     }
 
-    /// Hands a datagram to the topic that it is of.
-    fn hear(&mut self, head: Head, payload: &[u8]) {
-        let on = &mut self.on;
+    /// Passes a datagram to its sub-protocol.
+    fn dispatch(&mut self, head: Head, payload: &[u8]) {
+        let transport = &mut self.transport;
         match head.kind {
-            Kind::News | Kind::Share | Kind::Topic(_) if !on.book.is_in() => {}
-            Kind::News => self.spread.hear(on, head, payload),
-            Kind::Topic(_) => self.posts.hear(on, head, payload),
-            Kind::Share => match &mut self.parts {
-                Some(parts) => parts.hear(on, head, payload),
-                None if postcard::from_bytes::<Word>(payload).is_err() => on.malformed(),
+            Kind::ServerReports | Kind::Share | Kind::Message(_) if !transport.members.is_active() => {}
+            Kind::ServerReports => self.report_gossip.handle_message(transport, head, payload),
+            Kind::Message(_) => self.message_relay.handle_message(transport, head, payload),
+            Kind::Share => match &mut self.budget_shares {
+                Some(shares) => shares.handle_message(transport, head, payload),
+                None if postcard::from_bytes::<ShareMessage>(payload).is_err() => transport.malformed(),
                 None => {}
             },
-            _ => self.lives.hear(on, head, payload),
+            _ => self.failure_detector.handle_message(transport, head, payload),
         }
     }
 
-    // ----- for people
+    // ----- for operators' tools
 
-    /// The view as people's tools see it.
+    /// The rows of the view.
     pub fn rows(&self) -> Vec<Row> {
-        self.on.book.rows(self.on.now, |name| self.lives.suspected(name))
+        self.transport.members.rows(self.transport.now, |name| self.failure_detector.is_suspected(name))
     }
 
-    /// How far this member's return from a power loss is, by what was last told of it.
-    fn returning(&self) -> Option<Returning> {
-        let (told, at) = self.returning.as_ref()?;
-        let gone = self.on.now.saturating_sub(*at) / MS;
-        Some(Returning { left_ms: told.left_ms.saturating_sub(gone), ..told.clone() })
+    /// The progress of this member's recovery, with the remaining time as of now.
+    fn recovery_status(&self) -> Option<RecoveryStatus> {
+        let (told, at) = self.recovery.as_ref()?;
+        let gone = self.transport.now.saturating_sub(*at) / MS;
+        Some(RecoveryStatus { left_ms: told.left_ms.saturating_sub(gone), ..told.clone() })
     }
 
-    /// What stands above the rows.
+    /// The summary above the rows.
     pub fn summary(&self) -> Summary {
         Summary {
             me: self.me().clone(),
-            living: self.living() as u32,
+            living: self.alive_count() as u32,
             digest: self.digest(),
-            unsettled: self.settled().err().map(|why| why.to_string()),
+            unsettled: self.check_settled().err().map(|why| why.to_string()),
             counts: self.counts(),
-            part: self.parts.as_ref().map(|p| p.row(self.on.now)),
+            part: self.budget_shares.as_ref().map(|p| p.row(self.transport.now)),
         }
     }
 }
--- a/crates/membership/tests/settings.rs
+++ b/crates/membership/tests/settings.rs
@@ -1,13 +1,13 @@
-//! Settings of membership: what is read, and what is refused with its place.
+//! Tests of reading the settings of membership and of errors with their positions.
 
 use micadyke_membership::settings::read;
-use micadyke_membership::share::Terms;
+use micadyke_membership::share::ShareSettings;
 use micadyke_membership::{MS, SECOND};
 
 const SOUND: &str = r#"(membership (fleet "f") (name "n3") (listen "10.0.0.4:7946") (key-file "k")"#;
 
 #[test]
-fn what_is_stated_is_read_and_the_rest_has_its_default() {
+fn settings_are_read_with_defaults() {
     let least = read(&format!("{SOUND})"), "f.sexp", None).expect("sound");
     assert_eq!((least.advertise, least.expected, least.period), (least.listen, 2, 500 * MS));
     assert_eq!((least.shares, least.seeds.len(), least.rate), (None, 0, 64_000));
@@ -15,14 +15,22 @@
         (rate 128kB/s) (shares (always 40%) (lease 2s) (drift 2%)))"#;
     let all = read(&format!("{SOUND} {more}"), "f.sexp", None).expect("sound");
     assert_eq!((all.advertise.port(), all.seeds.len(), all.period, all.rate), (1, 2, SECOND, 128_000));
-    assert_eq!(all.shares, Some(Terms { fronts: 300, always: 400, lease: 2 * SECOND, drift: 20 }));
+    assert_eq!(
+        all.shares,
+        Some(ShareSettings {
+            fleet_size: 300,
+            guaranteed_per_mille: 400,
+            lease_duration: 2 * SECOND,
+            max_drift_per_mille: 20
+        })
+    );
     assert_eq!(all.remember, 7200 * SECOND);
     let unnamed = SOUND.replace("(name \"n3\")", "");
     assert_eq!(read(&format!("{unnamed})"), "f.sexp", Some("n9")).expect("sound").name, "n9");
 }
 
 #[test]
-fn what_is_wrong_is_named_with_its_place() {
+fn errors_have_a_position() {
     let table = [
         ("(seeds \"nowhere\")", "seeds: 'nowhere' is no address and port"),
         ("(period 500)", "period"),
@@ -52,20 +60,20 @@
 }
 
 #[test]
-fn every_error_says_what_can_be_done() {
+fn every_error_has_advice() {
     use micadyke_membership::Error;
     let at = ([10, 0, 0, 4], 7946).into();
     let why = || std::io::Error::from(std::io::ErrorKind::AddrInUse);
     let all = [
         (Error::Listen { at, why: why() }, "cannot listen on 10.0.0.4:7946", "'listen'"),
         (Error::Socket(why()), "no socket", "descriptors"),
-        (Error::NoWay { at, why: why() }, "10.0.0.4:7946: ", "way"),
+        (Error::NoRoute { at, why: why() }, "10.0.0.4:7946: ", "route"),
         (Error::Silent { at }, "does not answer", "'key-file'"),
         (Error::NoSummary { at }, "no first page", "another member"),
     ];
     let mut kinds = std::collections::HashSet::new();
     for (error, what, advice) in all {
         assert!(error.to_string().contains(what) && error.advice().contains(advice), "{error}");
-        assert!(kinds.insert(std::mem::discriminant(&error)), "{error}: a kind of its own");
+        assert!(kinds.insert(std::mem::discriminant(&error)), "{error}: duplicate variant");
     }
 }
--- a/crates/membership/tests/share_model.rs
+++ b/crates/membership/tests/share_model.rs
@@ -1,25 +1,26 @@
-//! Shares model-checked: no two epochs hold at once, whatever is lost, late, doubled, killed, started anew or stopped,
-//! with clocks that drift. The code that runs is what is checked.
+//! Model check of budget shares: two epochs never hold leases at the same time, with lost, late and duplicated messages,
+//! killed, restarted and stalled processes, and drifting clocks. The model runs the production code.
 
-use micadyke_membership::share::{Share, Terms, Word};
+use micadyke_membership::share::{LeaseParticipant, ShareMessage, ShareSettings};
 use stateright::{Checker, Model, Property, UniformChooser};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Units of each process's clock in one tick of true time: true, fast and slow by the drift.
+/// Units of each process's clock in one tick of true time: one exact clock, and one fast and one slow by the drift.
 const RATES: [u64; 3] = [10, 11, 9];
-const TERMS: Terms = Terms { fronts: 3, always: 0, lease: 20, drift: 100 };
+const TERMS: ShareSettings =
+    ShareSettings { fleet_size: 3, guaranteed_per_mille: 0, lease_duration: 20, max_drift_per_mille: 100 };
 
-/// What is taken out of the rule, to see the check fail.
+/// The rule that is switched off, so that the check must fail.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Without {
     Nothing,
-    /// Drift is not reckoned with.
+    /// Clock drift is ignored.
     Drift,
-    /// A new start votes at once.
+    /// A restarted process votes at once.
     Silence,
-    /// A refusal counts at once, whatever its name promised before it died.
+    /// A refused connection counts at once, regardless of promises before the process died.
     Past,
-    /// Votes of fewer than half do.
+    /// Less than a majority of votes suffices.
     Majority,
 }
 
@@ -33,9 +34,9 @@
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 struct World {
     time: u64,
-    processes: BTreeMap<u8, Share>,
-    /// Words under way: to, from, the word. They may come in any order, late, never, and one of them twice.
-    network: BTreeSet<(u8, u8, Word)>,
+    processes: BTreeMap<u8, LeaseParticipant>,
+    /// Messages in flight: receiver, sender and message. They may arrive in any order, late or never, and one of them twice.
+    network: BTreeSet<(u8, u8, ShareMessage)>,
     starts: u64,
     leads: u32,
     doubled: bool,
@@ -45,9 +46,9 @@
 enum Act {
     Tick,
     Lead(u8, u8),
-    Deliver(u8, u8, Word),
-    /// Delivered, and still under way.
-    Double(u8, u8, Word),
+    Deliver(u8, u8, ShareMessage),
+    /// Delivers a message that stays in flight.
+    Double(u8, u8, ShareMessage),
     Kill(u8),
     Start(u8),
     Refused(u8, u8),
@@ -58,10 +59,10 @@
 }
 
 impl Fleet {
-    fn terms(&self) -> Terms {
+    fn terms(&self) -> ShareSettings {
         match self.without {
-            Without::Drift => Terms { drift: 0, ..TERMS },
-            Without::Majority => Terms { fronts: 1, ..TERMS },
+            Without::Drift => ShareSettings { max_drift_per_mille: 0, ..TERMS },
+            Without::Majority => ShareSettings { fleet_size: 1, ..TERMS },
             _ => TERMS,
         }
     }
@@ -70,16 +71,16 @@
         1000 + RATES[n as usize] * time
     }
 
-    /// Born long ago, or now.
-    fn process(&self, n: u8, start: u64, time: u64) -> Share {
+    /// A process that was started long ago or just now.
+    fn process(&self, n: u8, start: u64, time: u64) -> LeaseParticipant {
         let long_ago = start == 0 || self.without == Without::Silence;
-        Share::new(self.terms(), &name(n), start, if long_ago { 0 } else { Self::clock(n, time) })
+        LeaseParticipant::new(self.terms(), &name(n), start, if long_ago { 0 } else { Self::clock(n, time) })
     }
 
-    fn post(&self, world: &mut World, from: u8, words: Vec<(String, Word)>) {
+    fn post(&self, world: &mut World, from: u8, words: Vec<(String, ShareMessage)>) {
         for (to, word) in words {
             let to = to.parse().expect("a number");
-            // Its own words reach a process at once.
+            // Messages of a process to itself arrive at once.
             if to == from {
                 let now = Self::clock(from, world.time);
                 let more = world.processes.get_mut(&from).map(|p| p.handle(now, &name(from), word));
@@ -104,7 +105,7 @@
         if w.time < self.ticks {
             acts.push(Act::Tick);
         }
-        // Two leaders that see different members; the second of them may die and come again.
+        // Two leaders that see different members; the second one may die and restart.
         let leads = [(0, 0b011), (0, 0b111), (1, 0b110)];
         let may = |(n, _): &(u8, u8)| w.leads < self.leads && w.processes.contains_key(n);
         acts.extend(leads.into_iter().filter(may).map(|(n, mask)| Act::Lead(n, mask)));
@@ -113,7 +114,7 @@
         }
         for n in (0..3).filter(|n| !w.processes.contains_key(n)) {
             acts.push(Act::Start(n));
-            let callers = w.processes.iter().filter(|p| p.1.round_began().is_some());
+            let callers = w.processes.iter().filter(|p| p.1.round_started_at().is_some());
             acts.extend(callers.map(|p| Act::Refused(*p.0, n)));
         }
         acts.extend(w.network.iter().cloned().map(|(to, from, word)| Act::Deliver(to, from, word)));
@@ -130,7 +131,7 @@
             Act::Lead(n, mask) => {
                 let members = (0..3).filter(|m| mask & (1 << m) > 0).map(name).collect();
                 w.leads += 1;
-                let words = w.processes.get_mut(&n)?.lead(clock(n), &members);
+                let words = w.processes.get_mut(&n)?.begin_round(clock(n), &members);
                 self.post(&mut w, n, words);
             }
             Act::Double(to, from, word) => {
@@ -152,10 +153,12 @@
             Act::Refused(by, of) => {
                 let (now, p) = (clock(by), w.processes.get_mut(&by)?);
                 if self.without == Without::Past {
-                    // As if it had been refused for long before.
-                    (0..8).for_each(|i| drop(p.refused(now, &name(of), now.saturating_sub(105) + 15 * i)));
+                    // Refusals of a long time before.
+                    (0..8).for_each(|i| {
+                        drop(p.connection_refused(now, &name(of), now.saturating_sub(105) + 15 * i))
+                    });
                 }
-                let words = p.refused(now, &name(of), now);
+                let words = p.connection_refused(now, &name(of), now);
                 self.post(&mut w, by, words);
             }
         }
@@ -165,11 +168,12 @@
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
             Property::always("the parts of all sum to the whole at most", |_, w: &World| {
-                let parts = w.processes.iter().map(|(n, p)| p.part(Fleet::clock(*n, w.time)).share());
+                let parts =
+                    w.processes.iter().map(|(n, p)| p.current_share(Fleet::clock(*n, w.time)).total());
                 parts.sum::<f64>() < 1.0 + 1e-9
             }),
             Property::sometimes("two hold what three held", |_, w: &World| {
-                let held = w.processes.iter().map(|(n, p)| p.part(Fleet::clock(*n, w.time)).members);
+                let held = w.processes.iter().map(|(n, p)| p.current_share(Fleet::clock(*n, w.time)).members);
                 w.processes.len() == 2 && held.clone().all(|m| m == Some(2)) && held.count() == 2
             }),
         ]
@@ -182,7 +186,7 @@
 
 const WHOLE: &str = "the parts of all sum to the whole at most";
 
-/// Random walks from a seed: whether one of them broke the rule, and how many states they saw.
+/// Random walks from a seed. Returns whether one of them violated the property, and the number of visited states.
 fn walks(without: Without, states: usize) -> (bool, usize) {
     let checker = fleet(without).checker().threads(1).target_state_count(states);
     let checker = checker.spawn_simulation(7, UniformChooser).join();
@@ -190,7 +194,7 @@
 }
 
 #[test]
-fn no_two_epochs_hold_at_once() {
+fn two_epochs_never_hold_leases_at_once() {
     let states = std::env::var("MICADYKE_MODEL").ok().and_then(|n| n.parse().ok()).unwrap_or(150_000);
     let checker = fleet(Without::Nothing).checker().threads(2).target_state_count(states).spawn_bfs().join();
     assert!(checker.discovery(WHOLE).is_none());
@@ -200,14 +204,14 @@
 }
 
 #[test]
-fn what_two_hold_can_be_all_that_three_held() {
+fn two_members_can_get_the_whole_budget_of_three() {
     let checker = fleet(Without::Nothing).checker().threads(1).target_state_count(2_000_000);
     let checker = checker.spawn_simulation(7, UniformChooser).join();
     assert!(checker.discovery("two hold what three held").is_some());
 }
 
 #[test]
-fn with_a_part_of_the_rule_out_two_epochs_do_hold_at_once() {
+fn without_each_rule_two_epochs_hold_leases_at_once() {
     for without in [Without::Majority, Without::Silence, Without::Past, Without::Drift] {
         let (broken, seen) = walks(without, 20_000_000);
         eprintln!("{without:?}: {seen}");
--- a/crates/membership/tests/shares.rs
+++ b/crates/membership/tests/shares.rs
@@ -1,6 +1,6 @@
-//! Parts of a common budget in whole fleets, in virtual time: never more than the whole, and what the dead leave is used.
+//! Tests of budget shares in whole fleets in virtual time: they never exceed the whole, and shares of dead members are used.
 
-use micadyke_membership::share::Terms;
+use micadyke_membership::share::ShareSettings;
 use micadyke_membership::{MS, SECOND};
 use micadyke_standin::members::*;
 
@@ -8,7 +8,12 @@
 
 fn fleet(seed: u64, n: usize) -> World {
     let mut w = World::new(seed, n);
-    w.shares = Some(Terms { fronts: n as u32, always: 500, lease: LEASE, drift: 10 });
+    w.shares = Some(ShareSettings {
+        fleet_size: n as u32,
+        guaranteed_per_mille: 500,
+        lease_duration: LEASE,
+        max_drift_per_mille: 10,
+    });
     (0..n).for_each(|i| w.start(i));
     w.until_settled(60);
     w.run(3 * LEASE);
@@ -20,18 +25,18 @@
 }
 
 #[test]
-fn what_the_dead_leave_is_shared_out_and_what_is_cut_off_is_not() {
+fn shares_of_dead_members_are_redistributed_and_of_partitioned_ones_are_not() {
     let mut w = fleet(1, 20);
     assert!((sum(&w) - 1.0).abs() < 1e-9, "{:?}", w.parts());
-    // Seven in ten processes die; their machines say so. Two always-parts in ten stay unused: those of the dead.
+    // Seven in ten processes die, and their machines refuse connections. Only their guaranteed shares stay unused.
     (0..14).for_each(|n| w.kill(n));
     w.run(20 * SECOND);
     assert!((sum(&w) - 0.65).abs() < 1e-9, "{:?}", w.parts());
-    // They come back: nothing is promised by them before a lease is over, and then all have their usual part.
+    // They return: they do not vote before a lease has passed; then all have their usual share.
     (0..14).for_each(|n| w.start(n));
     w.run(20 * SECOND);
     assert!((sum(&w) - 1.0).abs() < 1e-9, "{:?}", w.parts());
-    // Cut in two halves: neither has a majority. The one with more than half goes on.
+    // Of two equal halves neither has a majority. Of two unequal sides the larger one continues.
     w.partition(|n| n % 2);
     w.run(20 * SECOND);
     assert!((sum(&w) - 0.5).abs() < 1e-9, "{:?}", w.parts());
@@ -43,11 +48,11 @@
 }
 
 #[test]
-fn a_member_that_stood_still_uses_no_part_that_lapsed() {
+fn stalled_member_does_not_use_an_expired_lease() {
     let mut w = fleet(2, 10);
     w.stop(4);
     w.run(20 * SECOND);
-    // The others share out anew; what it was told is over by its own clock.
+    // The others redistribute the shares; the lease of the stalled member has expired by its own clock.
     assert!((w.parts()[&4] - 0.05).abs() < 1e-9 && w.parts()[&5] > 0.1, "{:?}", w.parts());
     w.go_on(4);
     w.run(100 * MS);
@@ -57,7 +62,7 @@
 }
 
 #[test]
-fn scripts_of_faults_never_bring_more_than_the_whole() {
+fn shares_never_exceed_the_whole_under_random_faults() {
     let scripts = std::env::var("MICADYKE_SCRIPTS").ok().and_then(|n| n.parse().ok()).unwrap_or(12);
     let mut digest = 0u64;
     for seed in 0..scripts {
--- a/crates/micadyke/src/interface.rs
+++ b/crates/micadyke/src/interface.rs
@@ -2,31 +2,31 @@
 //!
 //! # Contract
 //!
-//! * Time is nanoseconds of one clock that never runs backwards; [`Nanos`] is a point or a span of it.
+//! * Time is measured in nanoseconds of one monotonic clock; [`Nanos`] is a point in time or a duration.
 //! * The embedding front calls `Controller::handle` once for each event, in the order in which the events
-//!   reached it, and carries out the returned actions in their order, at that same time.
-//! * Each [`Action::Send`] comes back as exactly one [`Event::Ended`]; [`Event::Started`] precedes it when
-//!   the session came to play. An id of a session is never used twice.
-//! * Each [`Event::Request`] is owed one final answer: a set-up that starts, [`Action::Refuse`] or
-//!   [`Action::Fail`]. The front ends the session's books when it has carried the answer out.
-//! * The front owns connections, sockets and clocks; the controller owns every choice.
-//! * If the contract is not kept (events out of order, unknown ids, figures that are no numbers) the
-//!   controller ignores what it cannot place. It never panics, but the rules then hold only for what it saw.
+//!   arrived, and carries out the returned actions in their order, at that same time.
+//! * Each [`Action::Send`] is answered by exactly one [`Event::Ended`], preceded by [`Event::Started`] if the
+//!   session started to play. A session id is never reused.
+//! * Each [`Event::Request`] gets one final answer: a set-up that starts, [`Action::Refuse`] or
+//!   [`Action::Fail`]. The front discards its record of the session once it has delivered the answer.
+//! * The front owns connections, sockets and clocks; the controller makes every decision.
+//! * If the contract is violated (events out of order, unknown ids, values that are not numbers), the
+//!   controller ignores the event. It never panics, but its guarantees then cover only what it was told.
 
 use std::sync::Arc;
 
-/// A point in time, or a span of it, in nanoseconds.
+/// A point in time or a duration, in nanoseconds.
 pub type Nanos = u64;
 
-/// A media server; stays the same when its process restarts.
+/// Identifies a media server; unchanged when its process restarts.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ServerId(pub u32);
 
-/// One try of a viewer to get a session; never used twice.
+/// Identifies one request of a viewer for a session; never reused.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct SessionId(pub u64);
 
-/// A title that viewers watch; equal for equal titles.
+/// Identifies a title that viewers watch.
 #[derive(Debug, Default, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct TitleId(pub Arc<str>);
 
@@ -34,22 +34,22 @@
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ClassId(pub usize);
 
-/// A rung of the ladder, 0 the lowest.
+/// Index of a rung in [`Settings::ladder`]; 0 is the lowest quality.
 pub type Rung = usize;
 
-/// Whether a class may be set up more than once.
+/// Whether a session of a class may be set up more than once.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Effect {
-    /// May be set up again without harm.
+    /// Repeating a set-up does no harm.
     Idempotent,
-    /// May be set up again within `window`, at servers of the same scope.
+    /// A set-up may be repeated within `window` at servers of the same scope, which recognise the repeat.
     Deduplicated {
-        /// Which servers recognise a repeat.
+        /// The servers that recognise a repeat.
         scope: Scope,
-        /// How long after an attempt's send a repeat is recognised.
+        /// The time after the first attempt was sent within which a repeat is recognised.
         window: Nanos,
     },
-    /// Must never be set up twice.
+    /// A set-up must never be repeated.
     AtMostOnce,
 }
 
@@ -67,32 +67,32 @@
 /// A class of sessions.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Class {
-    /// Worth of one second at a rung of worth 1.
+    /// Worth of one second of play at a rung of worth 1.
     pub worth: f64,
-    /// A set-up is wanted within this time.
-    pub aim: Nanos,
+    /// Time within which a set-up should complete.
+    pub setup_target: Nanos,
     /// Whether a set-up may be repeated.
     pub effect: Effect,
-    /// Its rates over those of the ladder.
+    /// Factor on the rates of the ladder.
     pub scale: f64,
-    /// The lowest rung that may be set.
+    /// The lowest rung that may be used.
     pub floor: Rung,
     /// The highest rung of the class.
     pub top: Rung,
-    /// Sessions of one title that one front may hold; 0: no cap.
+    /// Maximum number of sessions of one title at one front; 0: unlimited.
     pub seats: u32,
 }
 
-/// One rung of the ladder.
+/// Rate and worth of one rung of the ladder.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Step {
-    /// Its rate, kB a second.
+pub struct RungSpec {
+    /// Rate in kB/s.
     pub rate: f64,
-    /// What it earns, as a share of the class's worth.
+    /// Worth, as a share of the class's worth.
     pub worth: f64,
 }
 
-/// How the list of servers reaches the front.
+/// How the server list reaches the front.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq)]
 pub enum Listing {
     /// Changes arrive unprompted.
@@ -102,86 +102,86 @@
     Subscribed,
 }
 
-/// A stated budget of further attempts.
+/// A budget of retries, which are all attempts of a request after the first.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct RetryBudget {
-    /// Further attempts always allowed.
+    /// Retries allowed regardless of the number of requests.
     pub spare: f64,
-    /// Further attempts allowed for each request taken.
+    /// Retries allowed for each accepted request.
     pub share: f64,
-    /// The stretch over which both are counted.
+    /// The window over which both are counted.
     pub window: Nanos,
 }
 
-/// What a controller is told at its start.
+/// The settings of a controller.
 #[derive(Debug, Default, Clone, PartialEq)]
 pub struct Settings {
-    /// How many fronts there are.
+    /// Number of fronts in the fleet.
     pub fronts: u32,
     /// The zone of this front.
     pub zone: u32,
     /// The classes of sessions.
     pub classes: Vec<Class>,
-    /// The ladder, lowest rung first, rates rising.
-    pub ladder: Vec<Step>,
-    /// Number of cells that servers stand in.
+    /// The quality ladder, lowest rung first, with increasing rates and worths.
+    pub ladder: Vec<RungSpec>,
+    /// Number of cells that the servers are divided into.
     pub cells: u32,
     /// Number of racks; a server's rack is its cell modulo this.
     pub racks: u32,
-    /// Streams that a server of each kind runs at most.
+    /// Maximum number of streams of a server of each machine kind.
     pub streams_by_kind: Vec<u32>,
-    /// Mean uplink of a rack, kB a second; 0: unknown.
+    /// Mean capacity of a rack's uplink, in kB/s; 0: unknown.
     pub uplink: f64,
-    /// A server's link for each unit of its weight, kB a second; 0: unknown.
+    /// Capacity of a server's link for each unit of its weight, in kB/s; 0: unknown.
     pub link_per_weight: f64,
-    /// Weights tell sizes (else they are all the same, or change with load).
-    pub weights_tell_size: bool,
-    /// A server turns set-ups away while so much of its link is asked; 0: never.
+    /// Weights are proportional to server sizes; otherwise they are all the same or change with load.
+    pub weights_reflect_size: bool,
+    /// Link use from which a server turns set-ups away; 0: never.
     pub full_from: f64,
-    /// A change of rung costs so many seconds of worth.
+    /// Cost of a rung change, in seconds of worth.
     pub change_cost_s: f64,
-    /// How late notes are.
-    pub note_delay: Nanos,
-    /// Time between fullness notes; 0: there are none.
-    pub note_period: Nanos,
-    /// How the list comes.
+    /// Age of periodic reports on arrival.
+    pub report_delay: Nanos,
+    /// Interval of the reports on link use; 0: there are none.
+    pub report_period: Nanos,
+    /// How the server list reaches the front.
     pub listing: Listing,
-    /// Attempts at most for one request.
+    /// Maximum number of attempts for one request.
     pub max_attempts: u32,
-    /// Clients are told when to come back.
-    pub may_advise: bool,
+    /// Refused clients are told when to retry.
+    pub advises_retry: bool,
     /// The longest wait that a client obeys.
-    pub max_come_back: Nanos,
-    /// Price of crossing zones with every session, as a share of all worth.
+    pub max_retry_after: Nanos,
+    /// Cost of placing all sessions in other zones, as a share of all worth.
     pub cross_price: f64,
-    /// Price of a new connection with every session, as a share of all worth.
+    /// Cost of a new connection for every session, as a share of all worth.
     pub handshake_price: f64,
-    /// A subscribed front must have asked within this time.
-    pub ask_within: Nanos,
-    /// A started server is warm after this at the latest.
+    /// Time within which a front must subscribe to the server list.
+    pub subscribe_within: Nanos,
+    /// Time after its start at which a server is warm at the latest.
     pub cold_for: Nanos,
-    /// A started server has at least this share of its capacity.
+    /// Share of its capacity that a server has at least when it starts.
     pub cold_from: f64,
-    /// A cold server falls when sent more than this multiple of its pace.
+    /// A cold server fails when it gets more than this multiple of its rate of set-ups over `fall_window`.
     pub fall_multiple: f64,
-    /// For this long.
+    /// Window over which the set-ups sent to a cold server are counted.
     pub fall_window: Nanos,
-    /// Budget of further attempts, where one is stated.
+    /// Budget of retries, if there is one.
     pub retry_budget: Option<RetryBudget>,
 }
 
 /// State of a server in the list.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ServerState {
-    /// Takes sessions.
+    /// Accepts sessions.
     Ready,
-    /// Wraps up; nothing new may be sent.
+    /// Finishes its sessions; nothing new may be sent.
     Draining,
     /// Removed.
     Gone,
 }
 
-/// A server as the list names it.
+/// An entry of the server list.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ServerEntry {
     /// Which server.
@@ -190,30 +190,30 @@
     pub state: ServerState,
     /// Index into [`Settings::streams_by_kind`].
     pub kind: usize,
-    /// Its weight; see [`Settings::weights_tell_size`].
+    /// Its weight; see [`Settings::weights_reflect_size`].
     pub weight: f64,
     /// Its cell.
     pub cell: u32,
     /// Its zone.
     pub zone: u32,
-    /// When its process started; 0: long ago.
+    /// When its process started; 0: long enough ago to be warm.
     pub started_at: Nanos,
 }
 
-/// What kind of list arrives.
+/// The kind of a list update.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ListKind {
-    /// All servers, as this front last saw them; perhaps stale.
+    /// All servers, as this front last knew them; possibly stale.
     Cached,
     /// All servers.
     Full,
-    /// Changed entries alone.
+    /// Changed entries only.
     Delta,
-    /// A call failed; the list held stays.
+    /// A call failed; the current list stays in force.
     Failed,
 }
 
-/// What a viewer asks for.
+/// A viewer's request for a session.
 #[derive(Debug, Default, Clone, PartialEq)]
 pub struct SessionRequest {
     /// The session's id.
@@ -224,14 +224,14 @@
     pub title: TitleId,
     /// First cell that holds the title.
     pub base: u32,
-    /// How many cells in a row hold it.
+    /// Number of consecutive cells that hold it.
     pub spread: u32,
     /// The highest rung that the viewer can use.
     pub top: Rung,
-    /// When the viewer gives up waiting.
+    /// When the viewer stops waiting for an answer.
     pub give_up_at: Nanos,
-    /// The viewer was here before (a retry, a return, a move).
-    pub again: bool,
+    /// The viewer has had a session or a request before: a retry, a reconnect or a move.
+    pub returning: bool,
 }
 
 /// How an attempt ended.
@@ -239,192 +239,193 @@
 pub enum Outcome {
     /// The session played to its end.
     Served,
-    /// The server answered with an error; it may have run.
+    /// The server answered with an error; the set-up may have taken effect.
     Error,
-    /// Turned away unseen; it never ran.
+    /// The server turned the set-up away; it took no effect.
     Full,
-    /// No answer in time; it may have run.
+    /// No answer in time; the set-up may have taken effect.
     TimedOut,
-    /// No connection; it never ran.
+    /// No connection; the set-up took no effect.
     NoConnection,
-    /// The connection broke; it may have run.
+    /// The connection broke; the set-up may have taken effect.
     Reset,
-    /// Cancelled, moved, or the viewer left; it may have run.
+    /// Cancelled, moved, or the viewer left; the set-up may have taken effect.
     Cancelled,
     /// It was never sent.
     NotSent,
 }
 
-/// Whether this front has a way to a server, as far as its own connections tell.
+/// Whether this front can reach a server, judged by its own connections.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq)]
-pub enum Reach {
-    /// A connection is up.
+pub enum Reachability {
+    /// A connection is open.
     Open,
-    /// None is up: the next set-up brings a handshake. Where nothing is ever told, all servers count alike.
+    /// No connection is open: the next set-up needs a handshake. The default, so that all servers count alike
+    /// if the front never reports reachability.
     #[default]
     Closed,
-    /// Calls there did not come up: the next set-up would wait for one in vain, or meet a new process.
+    /// Connecting failed: the next set-up would fail as well, or reach a newly started process.
     Lost,
 }
 
-/// What one server carries over all fronts, as they count it together.
+/// The load of one server over all fronts, as they count it together.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Figure {
-    /// Streams counted there.
+pub struct FleetLoad {
+    /// Streams counted at the server.
     pub carried: f64,
-    /// Its weight's part of all streams counted in the same way.
-    pub wanted: f64,
-    /// How old it is.
+    /// Streams it should carry: its share by weight of all streams counted.
+    pub target: f64,
+    /// Age of the count.
     pub age: Nanos,
-    /// The part of the fronts that was counted: 1 for all.
-    pub complete: f64,
+    /// Share of the fronts that were counted, from 0 to 1.
+    pub coverage: f64,
 }
 
-/// What a note on a playing session tells.
+/// The quantity that a report on a playing session states.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum NoteKind {
-    /// Share of the rate that is delivered at the server.
+pub enum ReportKind {
+    /// Share of the session's rate that the server delivers.
     Delivered,
     /// The rung in force.
     RungInForce,
-    /// Rate asked of the link over what it gives.
+    /// Requested rate over capacity of the server's link.
     LinkUse,
-    /// Rate asked of the rack's uplink over what it gives.
+    /// Requested rate over capacity of the rack's uplink.
     UplinkUse,
 }
 
-/// Something that happened.
+/// An input of the controller.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Event {
-    /// News of the list of servers.
+    /// The server list was updated.
     List {
-        /// What kind of list.
+        /// The kind of update.
         kind: ListKind,
         /// Its entries.
         entries: Vec<ServerEntry>,
     },
-    /// The way to a server has changed.
-    Reach {
-        /// Which server.
+    /// The reachability of a server has changed.
+    Reachability {
+        /// The server.
         server: ServerId,
-        /// What it is now.
-        reach: Reach,
+        /// Its reachability from now on.
+        reachability: Reachability,
     },
-    /// The part of each server's cold budget that is this front's, as shares of the whole: so much always, and so much
-    /// beyond it until then. Where none is told it is one over [`Settings::fronts`].
-    Part {
-        /// Always.
-        always: f64,
-        /// Beyond that.
+    /// This front's share of each server's cold budget, as shares of the whole. Without this event it is one
+    /// divided by [`Settings::fronts`].
+    ColdBudgetShare {
+        /// The share that does not expire.
+        guaranteed: f64,
+        /// The additional share held by lease.
         leased: f64,
-        /// Until then.
-        until: Nanos,
+        /// When the lease ends.
+        lease_ends_at: Nanos,
     },
-    /// What the fleet makes of a server, from then on. Where none is told all servers count alike.
-    Fleet {
-        /// Which server.
+    /// The fleet's view of a server, valid until the next such event. Without it all servers count alike.
+    FleetUpdate {
+        /// The server.
         server: ServerId,
-        /// It lies outside the servers that this front works with first: a preference, never an exclusion.
-        outside: bool,
-        /// What it carries over all fronts, where that was counted.
-        figure: Option<Figure>,
+        /// It lies outside this front's working subset: a preference, never an exclusion.
+        outside_subset: bool,
+        /// Its load over all fronts, if it was counted.
+        load: Option<FleetLoad>,
     },
-    /// A viewer wants a session.
+    /// A viewer requests a session.
     Request(SessionRequest),
-    /// A session that already plays is handed over; it counts as attempt 0.
+    /// The front takes over a session that already plays. Counts as attempt 0.
     Adopted {
-        /// What the viewer asked for.
-        wish: SessionRequest,
-        /// Where it plays.
+        /// The viewer's request.
+        request: SessionRequest,
+        /// The server it plays on.
         server: ServerId,
     },
-    /// The session plays.
+    /// A session has started to play.
     Started {
-        /// Which session.
+        /// The session.
         session: SessionId,
     },
-    /// An attempt ended.
+    /// An attempt has ended.
     Ended {
-        /// Which session.
+        /// The session.
         session: SessionId,
-        /// Where the attempt went.
+        /// The server of the attempt.
         server: ServerId,
         /// How it ended.
         outcome: Outcome,
-        /// No further answer is owed.
+        /// No further answer is due.
         finished: bool,
     },
-    /// The viewer left, or the answer is overdue; nothing is owed any more.
+    /// The viewer left or the answer is overdue; no answer is due any more.
     Left {
-        /// Which session.
+        /// The session.
         session: SessionId,
     },
-    /// A note on one of the front's sessions.
-    Note {
-        /// Which session.
+    /// A server reported on one of the front's sessions.
+    Report {
+        /// The session.
         session: SessionId,
-        /// The server that it tells of.
+        /// The reporting server.
         server: ServerId,
-        /// What it tells.
-        kind: NoteKind,
-        /// The figure.
+        /// The reported quantity.
+        kind: ReportKind,
+        /// Its value.
         value: f64,
     },
-    /// A timer came due.
+    /// A timer has expired.
     Timer {
         /// The token given with [`Action::SetTimer`].
         token: u64,
     },
 }
 
-/// Something to be done.
+/// An output of the controller, to be carried out by the front.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Action {
-    /// Set the session's rung; free until the server has started it.
+    /// Set the session's rung. Has no cost before the server has started the session.
     SetRung {
-        /// Which session.
+        /// The session.
         session: SessionId,
         /// The rung.
         rung: Rung,
     },
-    /// Ask a server to start the session.
+    /// Send an attempt to start the session to a server.
     Send {
-        /// Which session.
+        /// The session.
         session: SessionId,
-        /// Which server.
+        /// The server.
         server: ServerId,
-        /// Give the attempt up after this.
+        /// Time after which the attempt is abandoned.
         timeout: Nanos,
     },
-    /// Final answer: refused; trying again does no harm.
+    /// Final answer: refused. Repeating the request does no harm.
     Refuse {
-        /// Which session.
+        /// The session.
         session: SessionId,
-        /// Advice when to come back; 0: none.
-        come_back: Nanos,
+        /// Advised wait before the next request; 0: none.
+        retry_after: Nanos,
     },
-    /// Final answer: failed, nothing promised about what it did.
+    /// Final answer: failed. The request may have taken effect.
     Fail {
-        /// Which session.
+        /// The session.
         session: SessionId,
     },
-    /// Send [`Event::Timer`] after this time.
+    /// Send [`Event::Timer`] after a time.
     SetTimer {
-        /// From now.
+        /// The time from now.
         after: Nanos,
-        /// Comes back with the timer.
+        /// Returned with the timer event.
         token: u64,
     },
-    /// Ask for changes of the list from now on.
+    /// Subscribe to changes of the server list.
     Subscribe,
 }
 
-/// Settings that make no sense: the field, and what is wrong with it.
+/// A setting that is out of range.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct SettingsError {
     /// The field of [`Settings`].
     pub field: &'static str,
-    /// What is wrong with it.
+    /// The constraint that it violates.
     pub what: &'static str,
 }
 
@@ -437,28 +438,35 @@
 impl std::error::Error for SettingsError {}
 
 impl Settings {
-    /// Whether the settings make sense; an error names the field that does not.
+    /// Checks that all settings are in range.
+    ///
+    /// # Errors
+    ///
+    /// The first field that is out of range.
     pub fn check(&self) -> Result<(), SettingsError> {
         let s = self;
         let bad = |field, what| Err(SettingsError { field, what });
-        let rising = |f: fn(&Step) -> f64| s.ladder.windows(2).all(|w| f(&w[0]) < f(&w[1]));
+        let rising = |f: fn(&RungSpec) -> f64| s.ladder.windows(2).all(|w| f(&w[0]) < f(&w[1]));
         if s.ladder.is_empty()
             || !s.ladder.iter().all(|r| r.rate > 0.0 && r.rate.is_finite() && r.worth > 0.0)
         {
-            return bad("ladder", "must hold rungs of positive rate and worth");
+            return bad("ladder", "must contain rungs of positive rate and worth");
         }
         if !rising(|r| r.rate) || !rising(|r| r.worth) {
             return bad("ladder", "must rise");
         }
         if s.classes.is_empty() {
-            return bad("classes", "must hold a class");
+            return bad("classes", "must contain at least one class");
         }
         for c in &s.classes {
             if c.floor > c.top || c.top >= s.ladder.len() {
-                return bad("classes.floor", "must lie at or under classes.top, and that on the ladder");
+                return bad(
+                    "classes.floor",
+                    "must not exceed classes.top, which must be a rung of the ladder",
+                );
             }
             if !(c.worth >= 0.0 && c.worth.is_finite()) {
-                return bad("classes.worth", "must be a number from 0");
+                return bad("classes.worth", "must be a number of 0 or more");
             }
             if !(c.scale > 0.0 && c.scale.is_finite()) {
                 return bad("classes.scale", "must be a number above 0");
@@ -489,7 +497,7 @@
             ("retry_budget.share", s.retry_budget.map_or(0.0, |b| b.share)),
         ];
         if let Some((field, _)) = figures.iter().find(|(_, v)| !(*v >= 0.0 && v.is_finite())) {
-            return bad(field, "must be a number from 0");
+            return bad(field, "must be a number of 0 or more");
         }
         Ok(())
     }
--- a/crates/micadyke/src/module.rs
+++ b/crates/micadyke/src/module.rs
@@ -1,28 +1,28 @@
-//! The decision module as the programs around it see it: any that takes the interface's events.
+//! The decision module as a trait, so that programs can run another implementation in its place.
 
 use crate::decide::Controller;
 use crate::interface::{Action, Event, Nanos};
 
-/// The decision module as a program's core sees it. Programs run [`Controller`]; tests put in its place what listens, and
-/// what is broken on purpose.
+/// Handles the events of a front. Programs run [`Controller`]; tests replace it with implementations that record events
+/// or inject faults.
 ///
 /// ```
 /// use micadyke::interface::{Action, Event, Nanos, SessionId};
 /// use micadyke::module::Decide;
 ///
-/// /// Counts what it is told, and does nothing.
-/// struct Ear(usize);
-/// impl Decide for Ear {
+/// /// Counts the events and takes no action.
+/// struct EventCounter(usize);
+/// impl Decide for EventCounter {
 ///     fn handle(&mut self, _: Nanos, _: Event, _: &mut Vec<Action>) {
 ///         self.0 += 1;
 ///     }
 /// }
-/// let (mut ear, mut out) = (Ear(0), Vec::new());
-/// ear.handle(1_000_000_000, Event::Started { session: SessionId(1) }, &mut out);
-/// assert_eq!((ear.0, out.len()), (1, 0));
+/// let (mut counter, mut out) = (EventCounter(0), Vec::new());
+/// counter.handle(1_000_000_000, Event::Started { session: SessionId(1) }, &mut out);
+/// assert_eq!((counter.0, out.len()), (1, 0));
 /// ```
 pub trait Decide {
-    /// Takes one event; what is to be done is appended to `out`.
+    /// Handles one event at time `now` and appends the resulting actions to `out`.
     fn handle(&mut self, now: Nanos, event: Event, out: &mut Vec<Action>);
 }
 
--- a/crates/micadyke/tests/common/mod.rs
+++ b/crates/micadyke/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Settings, lists and wishes for tests that drive the controller alone.
+//! Settings, server lists and requests for tests that drive the controller alone.
 #![allow(dead_code)]
 
 use micadyke::decide::Controller;
@@ -9,11 +9,11 @@
 pub const START: Nanos = 1_000 * SECOND;
 
 pub fn class(effect: Effect, floor: Rung, seats: u32) -> Class {
-    Class { worth: 1.0, aim: SECOND, effect, scale: 1.0, floor, top: 3, seats }
+    Class { worth: 1.0, setup_target: SECOND, effect, scale: 1.0, floor, top: 3, seats }
 }
 
 pub fn settings(classes: Vec<Class>) -> Settings {
-    let step = |rate: f64, worth: f64| Step { rate, worth };
+    let step = |rate: f64, worth: f64| RungSpec { rate, worth };
     Settings {
         fronts: 2,
         classes,
@@ -23,13 +23,13 @@
         streams_by_kind: vec![20],
         uplink: 9_000.0,
         link_per_weight: 5_000.0,
-        weights_tell_size: true,
+        weights_reflect_size: true,
         change_cost_s: 0.5,
-        note_delay: 500 * MS,
-        note_period: 2 * SECOND,
+        report_delay: 500 * MS,
+        report_period: 2 * SECOND,
         max_attempts: 3,
-        may_advise: true,
-        max_come_back: 2 * SECOND,
+        advises_retry: true,
+        max_retry_after: 2 * SECOND,
         cold_for: 12 * SECOND,
         cold_from: 0.4,
         fall_multiple: 3.0,
@@ -42,7 +42,7 @@
     ServerEntry { server: ServerId(n), state, kind: 0, weight: 1.0, cell: n % 4, zone: n % 2, started_at }
 }
 
-pub fn wish(id: u64, class: usize, title: &str, now: Nanos) -> SessionRequest {
+pub fn session_request(id: u64, class: usize, title: &str, now: Nanos) -> SessionRequest {
     SessionRequest {
         session: SessionId(id),
         class: ClassId(class),
@@ -51,50 +51,51 @@
         spread: 4,
         top: 3,
         give_up_at: now + 4 * SECOND,
-        again: false,
+        returning: false,
     }
 }
 
-/// A controller that knows `n` ready servers, and the actions of an event.
+/// A controller and its clock.
 pub struct Front {
     pub controller: Controller,
     pub now: Nanos,
 }
 
 impl Front {
+    /// A front that knows `servers` ready servers.
     pub fn new(settings: Settings, servers: u32) -> Self {
-        let controller = Controller::new(settings, 7, START).expect("sound settings");
+        let controller = Controller::new(settings, 7, START).expect("valid settings");
         let mut front = Front { controller, now: START };
         let entries = (0..servers).map(|n| entry(n, ServerState::Ready, 0)).collect();
-        front.feed(Event::List { kind: ListKind::Cached, entries });
+        front.handle(Event::List { kind: ListKind::Cached, entries });
         front
     }
 
-    pub fn feed(&mut self, event: Event) -> Vec<Action> {
+    pub fn handle(&mut self, event: Event) -> Vec<Action> {
         let mut out = Vec::new();
         self.controller.handle(self.now, event, &mut out);
         out
     }
 
     pub fn request(&mut self, id: u64, class: usize, title: &str) -> Vec<Action> {
-        let wish = wish(id, class, title, self.now);
-        self.feed(Event::Request(wish))
+        let request = session_request(id, class, title, self.now);
+        self.handle(Event::Request(request))
     }
 
     pub fn end(&mut self, id: u64, server: ServerId, outcome: Outcome, finished: bool) -> Vec<Action> {
-        self.feed(Event::Ended { session: SessionId(id), server, outcome, finished })
+        self.handle(Event::Ended { session: SessionId(id), server, outcome, finished })
     }
 
     pub fn start(&mut self, id: u64) {
-        self.feed(Event::Started { session: SessionId(id) });
+        self.handle(Event::Started { session: SessionId(id) });
     }
 
-    pub fn note(&mut self, id: u64, server: ServerId, kind: NoteKind, value: f64) -> Vec<Action> {
-        self.feed(Event::Note { session: SessionId(id), server, kind, value })
+    pub fn report(&mut self, id: u64, server: ServerId, kind: ReportKind, value: f64) -> Vec<Action> {
+        self.handle(Event::Report { session: SessionId(id), server, kind, value })
     }
 
     pub fn tick(&mut self) -> Vec<Action> {
-        self.feed(Event::Timer { token: 0 })
+        self.handle(Event::Timer { token: 0 })
     }
 }
 
--- a/crates/micadyke/tests/failures.rs
+++ b/crates/micadyke/tests/failures.rs
@@ -1,4 +1,4 @@
-//! One small test for each rule and each failure that was found; the module alone, without the bench.
+//! Tests of the controller alone: one for each rule and for each failure found in trials.
 
 mod common;
 use common::*;
@@ -8,14 +8,14 @@
 const IDEMPOTENT: Effect = Effect::Idempotent;
 
 #[test]
-fn an_empty_list_refuses_at_once_with_advice() {
+fn empty_server_list_refuses_at_once_with_retry_advice() {
     let mut f = Front::new(settings(vec![class(IDEMPOTENT, 0, 0)]), 0);
     let out = f.request(1, 0, "a");
-    assert!(out.contains(&Action::Refuse { session: SessionId(1), come_back: SECOND }), "{out:?}");
+    assert!(out.contains(&Action::Refuse { session: SessionId(1), retry_after: SECOND }), "{out:?}");
 }
 
 #[test]
-fn the_rung_is_set_before_the_send_and_never_under_the_floor() {
+fn rung_is_set_before_send_and_not_below_floor() {
     let mut f = Front::new(settings(vec![class(IDEMPOTENT, 1, 0)]), 4);
     for id in 1..60 {
         let out = f.request(id, 0, "a");
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn a_full_fleet_lowers_rungs_and_then_refuses() {
+fn full_fleet_lowers_rungs_and_then_refuses() {
     let mut f = Front::new(settings(vec![class(IDEMPOTENT, 0, 0)]), 4);
     let rungs: Vec<Option<Rung>> = (1..120).map(|id| rung(&f.request(id, 0, "a"))).collect();
     assert_eq!(rungs[0], Some(3));
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn a_paid_set_up_that_may_have_run_is_failed_not_repeated() {
+fn at_most_once_set_up_that_may_have_run_fails_without_retry() {
     for outcome in [Outcome::TimedOut, Outcome::Reset, Outcome::Error, Outcome::Cancelled] {
         let mut f = Front::new(settings(vec![class(Effect::AtMostOnce, 0, 0)]), 4);
         let (server, _) = sent(&f.request(1, 0, "a")).expect("sent");
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn a_paid_set_up_that_never_ran_is_tried_elsewhere() {
+fn at_most_once_set_up_that_never_ran_is_retried_elsewhere() {
     for outcome in [Outcome::Full, Outcome::NoConnection] {
         let mut f = Front::new(settings(vec![class(Effect::AtMostOnce, 0, 0)]), 4);
         let (first, _) = sent(&f.request(1, 0, "a")).expect("sent");
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn attempts_end_at_the_stated_number_and_time_outs_leave_time_for_the_next() {
+fn attempts_stop_at_maximum_and_timeouts_leave_time_for_retries() {
     let mut f = Front::new(settings(vec![class(IDEMPOTENT, 0, 0)]), 4);
     let mut out = f.request(1, 0, "a");
     let mut sends = 0;
@@ -70,10 +70,10 @@
 }
 
 #[test]
-fn draining_and_gone_servers_get_nothing_new_at_once() {
+fn draining_and_gone_servers_get_no_new_attempts() {
     for state in [ServerState::Draining, ServerState::Gone] {
         let mut f = Front::new(settings(vec![class(IDEMPOTENT, 0, 0)]), 2);
-        f.feed(Event::List { kind: ListKind::Delta, entries: vec![entry(0, state, 0)] });
+        f.handle(Event::List { kind: ListKind::Delta, entries: vec![entry(0, state, 0)] });
         for id in 1..20 {
             assert!(sent(&f.request(id, 0, "a")).is_none_or(|s| s.0 == ServerId(1)));
         }
@@ -81,17 +81,17 @@
 }
 
 #[test]
-fn a_full_list_drops_servers_that_it_does_not_name() {
+fn full_list_removes_servers_that_it_omits() {
     let mut f = Front::new(settings(vec![class(IDEMPOTENT, 0, 0)]), 3);
-    f.feed(Event::List { kind: ListKind::Full, entries: vec![entry(2, ServerState::Ready, 0)] });
+    f.handle(Event::List { kind: ListKind::Full, entries: vec![entry(2, ServerState::Ready, 0)] });
     assert_eq!(sent(&f.request(1, 0, "a")).map(|s| s.0), Some(ServerId(2)));
 }
 
 #[test]
-fn a_cold_server_gets_this_fronts_part_of_the_pace_in_every_window() {
+fn cold_server_gets_own_share_of_budget_in_every_window() {
     // 20 streams / 12 s * 0.4 * 3 * 2 s = 4 set-ups a window for both fronts.
     let mut f = Front::new(settings(vec![class(IDEMPOTENT, 0, 0)]), 0);
-    f.feed(Event::List { kind: ListKind::Full, entries: vec![entry(0, ServerState::Ready, START)] });
+    f.handle(Event::List { kind: ListKind::Full, entries: vec![entry(0, ServerState::Ready, START)] });
     let mut times: Vec<Nanos> = Vec::new();
     for id in 0..200 {
         f.now += 50 * MS;
@@ -109,7 +109,7 @@
 }
 
 #[test]
-fn a_server_whose_session_was_reset_counts_as_started_anew() {
+fn server_with_reset_session_counts_as_cold() {
     let mut f = Front::new(settings(vec![class(IDEMPOTENT, 0, 0)]), 1);
     let (server, _) = sent(&f.request(1, 0, "a")).expect("sent");
     f.start(1);
@@ -127,10 +127,10 @@
 }
 
 #[test]
-fn seats_count_set_ups_and_handed_over_sessions() {
+fn seats_include_set_ups_and_adopted_sessions() {
     let mut f = Front::new(settings(vec![class(IDEMPOTENT, 0, 2)]), 4);
-    let adopted = wish(100, 0, "a", START);
-    f.feed(Event::Adopted { wish: adopted, server: ServerId(1) });
+    let adopted = session_request(100, 0, "a", START);
+    f.handle(Event::Adopted { request: adopted, server: ServerId(1) });
     assert!(sent(&f.request(1, 0, "a")).is_some());
     assert!(refused(&f.request(2, 0, "a")));
     assert!(sent(&f.request(3, 0, "b")).is_some(), "another title has seats of its own");
@@ -139,7 +139,7 @@
 }
 
 #[test]
-fn further_attempts_stay_within_a_stated_budget() {
+fn retries_stay_within_retry_budget() {
     let mut s = settings(vec![class(IDEMPOTENT, 0, 0)]);
     s.retry_budget = Some(RetryBudget { spare: 1.0, share: 0.0, window: 10 * SECOND });
     let mut f = Front::new(s, 4);
@@ -157,76 +157,78 @@
 }
 
 #[test]
-fn a_shortfall_note_steps_sessions_down() {
+fn shortfall_report_steps_sessions_down() {
     let mut f = Front::new(settings(vec![class(IDEMPOTENT, 0, 0)]), 1);
     for id in 1..5 {
         let (server, _) = sent(&f.request(id, 0, "a")).expect("sent");
         f.start(id);
-        f.note(id, server, NoteKind::LinkUse, 0.5);
+        f.report(id, server, ReportKind::LinkUse, 0.5);
     }
     f.now += 11 * SECOND;
-    f.note(1, ServerId(0), NoteKind::LinkUse, 0.9);
-    f.note(1, ServerId(0), NoteKind::Delivered, 0.5);
+    f.report(1, ServerId(0), ReportKind::LinkUse, 0.9);
+    f.report(1, ServerId(0), ReportKind::Delivered, 0.5);
     let out = f.tick();
     assert!(rung(&out).is_some_and(|r| r < 3), "{out:?}");
 }
 
 #[test]
-fn nothing_changes_rung_before_the_first_note() {
-    // Found on the head-office quiet day: sessions handed over were stepped down on a guess at once.
+fn rungs_do_not_change_before_first_report() {
+    // Adopted sessions were stepped down at once, by an estimate without any report.
     let mut f = Front::new(settings(vec![class(IDEMPOTENT, 0, 0)]), 1);
     for id in 1..9 {
-        f.feed(Event::Adopted { wish: wish(id, 0, "a", START), server: ServerId(0) });
-        f.note(id, ServerId(0), NoteKind::RungInForce, 3.0);
+        f.handle(Event::Adopted { request: session_request(id, 0, "a", START), server: ServerId(0) });
+        f.report(id, ServerId(0), ReportKind::RungInForce, 3.0);
     }
     f.now += 200 * MS;
     assert_eq!(rung(&f.tick()), None);
     f.now += SECOND;
-    f.note(1, ServerId(0), NoteKind::LinkUse, 1.4);
-    assert!(rung(&f.tick()).is_some(), "news is answered at the next tick");
+    f.report(1, ServerId(0), ReportKind::LinkUse, 1.4);
+    assert!(rung(&f.tick()).is_some(), "a report is acted on at the next timer event");
     assert_eq!(rung(&f.tick()), None, "and only once");
 }
 
 #[test]
-fn an_old_account_fades_to_what_the_fleet_shows() {
-    // Found on vembanad big-1: a server last heard of at 1.23 was shunned for 26 s.
+fn old_report_fades_to_fleet_mean() {
+    // A server whose last report was a use of 1.23 got no attempts for 26 s.
     let mut f = Front::new(settings(vec![class(IDEMPOTENT, 0, 0)]), 2);
     let first = sent(&f.request(1, 0, "a")).expect("sent").0;
     f.start(1);
-    f.note(1, first, NoteKind::LinkUse, 1.6);
+    f.report(1, first, ReportKind::LinkUse, 1.6);
     f.end(1, first, Outcome::Served, true);
     let other = sent(&f.request(2, 0, "a")).expect("sent").0;
     assert_ne!(first, other);
     f.start(2);
     for _ in 0..20 {
         f.now += SECOND;
-        f.note(2, other, NoteKind::LinkUse, 0.3);
+        f.report(2, other, ReportKind::LinkUse, 0.3);
         f.tick();
     }
-    let seen: Vec<ServerId> = (3..9).filter_map(|id| sent(&f.request(id, 0, "a")).map(|s| s.0)).collect();
-    assert!(seen.contains(&first), "{seen:?}");
+    let chosen: Vec<ServerId> = (3..9).filter_map(|id| sent(&f.request(id, 0, "a")).map(|s| s.0)).collect();
+    assert!(chosen.contains(&first), "{chosen:?}");
 }
 
 #[test]
-fn events_of_unknown_sessions_and_odd_figures_do_nothing() {
+fn events_of_unknown_sessions_and_invalid_values_are_ignored() {
     let mut f = Front::new(settings(vec![class(IDEMPOTENT, 0, 0)]), 2);
     let server = ServerId(0);
     assert!(f.end(99, server, Outcome::Served, true).is_empty());
     f.start(99);
     for value in [f64::NAN, f64::INFINITY, -1.0, 0.0, 1e300] {
-        for kind in [NoteKind::LinkUse, NoteKind::UplinkUse, NoteKind::Delivered, NoteKind::RungInForce] {
-            assert!(f.note(99, server, kind, value).is_empty());
+        for kind in
+            [ReportKind::LinkUse, ReportKind::UplinkUse, ReportKind::Delivered, ReportKind::RungInForce]
+        {
+            assert!(f.report(99, server, kind, value).is_empty());
         }
     }
-    f.feed(Event::Left { session: SessionId(99) });
-    let mut odd = wish(5, 0, "a", f.now);
+    f.handle(Event::Left { session: SessionId(99) });
+    let mut odd = session_request(5, 0, "a", f.now);
     odd.class = ClassId(9);
-    assert!(f.feed(Event::Request(odd)).is_empty());
+    assert!(f.handle(Event::Request(odd)).is_empty());
     assert!(sent(&f.request(6, 0, "a")).is_some());
 }
 
 #[test]
-fn settings_that_make_no_sense_are_refused_by_name() {
+fn invalid_settings_are_refused_by_field_name() {
     let good = settings(vec![class(IDEMPOTENT, 0, 0)]);
     let field = |change: fn(&mut Settings)| {
         let mut s = good.clone();
@@ -257,56 +259,59 @@
 }
 
 #[test]
-fn notes_that_stay_out_do_not_read_as_empty_links() {
-    // Found in incident i730c7f: accounts faded to a mean of nothing, and rungs went up on full links.
+fn missing_reports_do_not_count_as_empty_links() {
+    // Incident i730c7f: without reports the estimates faded to a mean of zero, and rungs rose on full links.
     let mut f = Front::new(settings(vec![class(IDEMPOTENT, 0, 0)]), 1);
-    let mut adopted = wish(1, 0, "a", START);
+    let mut adopted = session_request(1, 0, "a", START);
     adopted.top = 3;
-    f.feed(Event::Adopted { wish: adopted, server: ServerId(0) });
-    f.note(1, ServerId(0), NoteKind::RungInForce, 1.0);
-    f.note(1, ServerId(0), NoteKind::LinkUse, 0.85);
+    f.handle(Event::Adopted { request: adopted, server: ServerId(0) });
+    f.report(1, ServerId(0), ReportKind::RungInForce, 1.0);
+    f.report(1, ServerId(0), ReportKind::LinkUse, 0.85);
     for _ in 0..100 {
         f.now += 500 * MS;
-        assert_eq!(rung(&f.tick()), None, "a rung rose on an old account");
+        assert_eq!(rung(&f.tick()), None, "a rung rose on an old estimate");
     }
     assert!(rung(&f.request(2, 0, "a")).is_none_or(|r| r < 3), "a top rung on a link last seen near full");
 }
 
 #[test]
-fn a_server_that_turns_away_is_as_full_as_it_says() {
-    // Found in incident i730c7f too.
+fn server_that_turns_set_ups_away_counts_as_full() {
+    // Incident i730c7f: with reports missing, full servers kept getting set-ups that they turned away.
     let mut s = settings(vec![class(IDEMPOTENT, 0, 0)]);
     s.full_from = 1.2;
     let mut f = Front::new(s, 1);
     let (server, _) = sent(&f.request(1, 0, "a")).expect("sent");
     assert!(refused(&f.end(1, server, Outcome::Full, false)));
     f.now += 3 * SECOND;
-    assert!(refused(&f.request(2, 0, "a")), "its rest is over, but its link is still taken to be full");
+    assert!(refused(&f.request(2, 0, "a")), "the link is still taken for full 3 s later");
 }
 
 #[test]
-fn returning_viewers_are_priced_on_links_that_look_empty() {
-    // Found on a hunted day of front restarts: the first of a wave took top rungs from the others.
+fn returning_viewers_are_priced_on_seemingly_empty_links() {
+    // After front restarts the first viewers of a reconnect wave took top rungs, which left the others none.
     let mut s = settings(vec![class(IDEMPOTENT, 0, 0)]);
-    s.ladder.push(Step { rate: 1500.0, worth: 1.1 });
+    s.ladder.push(RungSpec { rate: 1500.0, worth: 1.1 });
     s.classes[0].top = 4;
     let mut f = Front::new(s, 4);
-    let (mut back, mut new) = (wish(1, 0, "a", START), wish(2, 0, "a", START));
-    (back.again, back.top, new.top) = (true, 4, 4);
-    let returning = rung(&f.feed(Event::Request(back)));
-    let fresh = rung(&f.feed(Event::Request(new)));
+    let (mut back, mut new) = (session_request(1, 0, "a", START), session_request(2, 0, "a", START));
+    (back.returning, back.top, new.top) = (true, 4, 4);
+    let returning = rung(&f.handle(Event::Request(back)));
+    let fresh = rung(&f.handle(Event::Request(new)));
     assert!(returning < fresh && returning.is_some(), "{returning:?} {fresh:?}");
 }
 
-/// Sends to one cold server by `fronts` controllers side by side, each asked `asks` times every 100 ms; fronts of
-/// an even number get ten times as many. Returns when each was sent.
-fn cold_sends(fronts: u32, asks: u64, seconds: u64) -> Vec<Nanos> {
+/// The times at which `fronts` controllers send attempts to one cold server. Each gets `asks` requests every
+/// 100 ms, and those with an even number ten times as many.
+fn cold_attempt_times(fronts: u32, asks: u64, seconds: u64) -> Vec<Nanos> {
     let mut all: Vec<Front> = (0..fronts)
         .map(|n| {
             let s = Settings { fronts, ..settings(vec![class(IDEMPOTENT, 0, 0)]) };
-            let controller = Controller::new(s, u64::from(n) * 77, START).expect("sound settings");
+            let controller = Controller::new(s, u64::from(n) * 77, START).expect("valid settings");
             let mut f = Front { controller, now: START };
-            f.feed(Event::List { kind: ListKind::Full, entries: vec![entry(0, ServerState::Ready, START)] });
+            f.handle(Event::List {
+                kind: ListKind::Full,
+                entries: vec![entry(0, ServerState::Ready, START)],
+            });
             f
         })
         .collect();
@@ -328,155 +333,158 @@
 }
 
 #[test]
-fn all_fronts_together_stay_within_the_cold_budget_in_every_window() {
-    // Found in incident ifbaafe: each of hundreds of fronts sent its first set-up at once. 20 streams / 12 s * 0.4
-    // * 3 * 2 s = 4 in a window; lots leave room for chance, so a window of 8 is far beyond what may happen. The
-    // platform lets a server fall at more than 4 + 3 x root of 4 + 3 = 13.
+fn sum_over_fronts_stays_within_cold_budget_in_every_window() {
+    // Incident ifbaafe: each of hundreds of fronts sent its first set-up at once. The budget of a window is
+    // 20 streams / 12 s * 0.4 * 3 * 2 s = 4. The random admission keeps a margin, so 8 in a window are practically
+    // impossible; the platform's server fails at more than 4 + 3 * sqrt(4) + 3 = 13.
     for (fronts, asks, most) in [(3, 1, 4), (300, 1, 8), (300, 0, 8)] {
-        let times = cold_sends(fronts, asks.max(1), if asks == 0 { 1 } else { 11 });
+        let times = cold_attempt_times(fronts, asks.max(1), if asks == 0 { 1 } else { 11 });
         let within = |&t: &Nanos| times.iter().filter(|&&u| u >= t && u < t + 2 * SECOND).count();
         let busiest = times.iter().map(within).max().unwrap_or(0);
         assert!(busiest <= most, "{fronts} fronts: {busiest} set-ups in a window");
     }
-    assert!(cold_sends(300, 1, 11).len() >= 3, "a cold server is used all the same");
+    assert!(cold_attempt_times(300, 1, 11).len() >= 3, "a cold server is used nevertheless");
 }
 
-/// Rungs of one session at each of `fronts` fronts after all have heard the same note of use.
-fn after_one_note(fronts: u32, rung: Rung, value: f64) -> Vec<Rung> {
-    let heard = |n: u32| {
+/// The rungs of one session at each of `fronts` fronts after all have received the same report of link use.
+fn rungs_after_one_report(fronts: u32, rung: Rung, value: f64) -> Vec<Rung> {
+    let rung_at = |n: u32| {
         let mut s = settings(vec![class(IDEMPOTENT, 0, 0)]);
         // A link that carries one session of each front at the third rung.
         (s.fronts, s.link_per_weight) = (fronts, 400.0 * f64::from(fronts) / value);
-        let controller = Controller::new(s, u64::from(n) * 13 + 1, START).expect("sound settings");
+        let controller = Controller::new(s, u64::from(n) * 13 + 1, START).expect("valid settings");
         let mut f = Front { controller, now: START };
-        f.feed(Event::List { kind: ListKind::Full, entries: vec![entry(0, ServerState::Ready, 0)] });
-        f.feed(Event::Adopted { wish: wish(1, 0, "a", START), server: ServerId(0) });
-        f.note(1, ServerId(0), NoteKind::RungInForce, rung as f64);
+        f.handle(Event::List { kind: ListKind::Full, entries: vec![entry(0, ServerState::Ready, 0)] });
+        f.handle(Event::Adopted { request: session_request(1, 0, "a", START), server: ServerId(0) });
+        f.report(1, ServerId(0), ReportKind::RungInForce, rung as f64);
         for _ in 0..100 {
             f.now += 200 * MS;
             f.tick();
         }
-        f.note(1, ServerId(0), NoteKind::LinkUse, value);
+        f.report(1, ServerId(0), ReportKind::LinkUse, value);
         let changes: Vec<Rung> = (0..10).filter_map(|_| self::rung(&f.tick())).collect();
         changes.last().copied().unwrap_or(rung)
     };
-    (0..fronts).map(heard).collect()
+    (0..fronts).map(rung_at).collect()
 }
 
 #[test]
-fn hundreds_answer_a_note_in_proportion_and_once() {
-    // Found on the later deployments: each front with one session stepped down for the whole overload.
+fn many_fronts_act_on_a_report_once_and_in_proportion() {
+    // Each front with one session on an overloaded link stepped down for the whole overload.
     for fronts in [60, 300] {
-        let rungs = after_one_note(fronts, 2, 1.2);
+        let rungs = rungs_after_one_report(fronts, 2, 1.2);
         let down = rungs.iter().filter(|&&r| r < 2).count() as f64 / f64::from(fronts);
-        // A step frees half of the rate, and seven tenths of about a quarter are to be freed.
+        // A step frees half of a session's rate; 0.7 of an excess of about a quarter has to be freed.
         assert!(down > 0.2 && down < 0.5, "{down} of {fronts} fronts stepped down for a fifth too much");
     }
-    assert_eq!(after_one_note(3, 2, 0.9), vec![2, 2, 2], "nothing to answer at the mark");
+    assert_eq!(rungs_after_one_report(3, 2, 0.9), vec![2, 2, 2], "no change at the limit of the top rung");
 }
 
 #[test]
-fn a_server_never_heard_of_stands_at_the_mean_not_at_own_rate_times_fronts() {
+fn unreported_server_is_estimated_by_mean_not_by_own_rate() {
     let mut s = settings(vec![class(IDEMPOTENT, 0, 0)]);
     s.fronts = 300;
     let mut f = Front::new(s, 1);
-    f.feed(Event::Adopted { wish: wish(1, 0, "a", START), server: ServerId(0) });
-    assert!(sent(&f.request(2, 0, "a")).is_some(), "one own session is not three hundred");
+    f.handle(Event::Adopted { request: session_request(1, 0, "a", START), server: ServerId(0) });
+    assert!(sent(&f.request(2, 0, "a")).is_some(), "one own session does not imply 300 in the fleet");
 }
 
 #[test]
-fn a_fresh_front_does_not_read_silence_as_empty_links() {
+fn new_front_does_not_take_unreported_links_for_empty() {
     let mut s = settings(vec![class(IDEMPOTENT, 0, 0)]);
     s.fronts = 300;
     let mut f = Front::new(s, 4);
-    assert!(rung(&f.request(1, 0, "a")).is_some_and(|r| r < 3), "a top rung on a link never heard of");
+    assert!(rung(&f.request(1, 0, "a")).is_some_and(|r| r < 3), "a top rung on a link without reports");
 }
 
 #[test]
-fn a_set_up_on_a_guess_steps_down_when_its_own_figure_shows_a_full_link() {
+fn set_up_without_report_steps_down_when_its_report_shows_a_full_link() {
     let mut s = settings(vec![class(IDEMPOTENT, 0, 0)]);
     s.fronts = 300;
     let mut f = Front::new(s, 4);
     let out = f.request(1, 0, "a");
     let ((server, _), before) = (sent(&out).expect("sent"), rung(&out).expect("a rung"));
     f.start(1);
-    let after = rung(&f.note(1, server, NoteKind::LinkUse, 1.3));
+    let after = rung(&f.report(1, server, ReportKind::LinkUse, 1.3));
     assert!(after.is_some_and(|r| r < before), "{before} {after:?}");
-    assert_eq!(rung(&f.note(1, server, NoteKind::LinkUse, 1.4)), None, "one change in ten seconds");
+    assert_eq!(rung(&f.report(1, server, ReportKind::LinkUse, 1.4)), None, "one change in ten seconds");
 }
 
 #[test]
-fn the_note_at_set_up_is_news_like_any_other_unless_its_session_was_a_guess() {
-    // Found on sockets: where the note came a moment after the start, it was answered as late news by all sessions, and
-    // served more than one that was answered by none. 1 ms: two messages on a socket.
+fn report_at_set_up_is_ordinary_if_server_had_a_recent_report() {
+    // On sockets the report arrives a moment after the start (1 ms here). Treated as a set-up report it changed no
+    // rung, and reported free capacity stayed unused.
     for gap in [0, MS] {
         let mut s = settings(vec![class(IDEMPOTENT, 0, 0)]);
         (s.fronts, s.uplink) = (1, 90_000.0);
         let mut f = Front::new(s, 1);
         for id in 1..=4 {
-            f.feed(Event::Adopted { wish: wish(id, 0, "a", START), server: ServerId(0) });
-            f.note(id, ServerId(0), NoteKind::RungInForce, 1.0);
+            f.handle(Event::Adopted { request: session_request(id, 0, "a", START), server: ServerId(0) });
+            f.report(id, ServerId(0), ReportKind::RungInForce, 1.0);
         }
         f.now += 11 * SECOND;
         f.tick();
         f.now += 100 * MS;
-        f.note(1, ServerId(0), NoteKind::LinkUse, 0.8);
+        f.report(1, ServerId(0), ReportKind::LinkUse, 0.8);
         f.tick();
-        // A young figure stands, so that this set-up is no guess; its own figure shows that there is room.
+        // The server's report is recent, so this set-up is not sent blindly; its own report shows free capacity.
         f.now += 100 * MS;
         assert!(sent(&f.request(9, 0, "a")).is_some());
         f.now += 50 * MS;
         f.start(9);
         f.now += gap;
-        f.note(9, ServerId(0), NoteKind::LinkUse, 0.2);
+        f.report(9, ServerId(0), ReportKind::LinkUse, 0.2);
         f.now += 200 * MS;
-        assert!(rung(&f.tick()).is_some(), "room that was heard of is given, gap {gap}");
+        assert!(rung(&f.tick()).is_some(), "reported capacity is used, gap {gap}");
     }
 }
 
 #[test]
-fn an_uplink_never_heard_of_stands_at_the_mean_of_uplinks() {
-    // Found on head-office-medi-later: servers behind unknown uplinks drew the set-ups.
+fn unreported_uplink_is_estimated_by_mean_of_uplinks() {
+    // Servers behind unreported uplinks attracted the set-ups.
     let s = Settings { fronts: 300, ..settings(vec![class(IDEMPOTENT, 0, 0)]) };
     let mut f = Front::new(s, 2);
-    f.feed(Event::Adopted { wish: wish(1, 0, "a", START), server: ServerId(0) });
+    f.handle(Event::Adopted { request: session_request(1, 0, "a", START), server: ServerId(0) });
     f.now += SECOND;
-    f.note(1, ServerId(0), NoteKind::LinkUse, 0.3);
-    f.note(1, ServerId(0), NoteKind::UplinkUse, 1.1);
+    f.report(1, ServerId(0), ReportKind::LinkUse, 0.3);
+    f.report(1, ServerId(0), ReportKind::UplinkUse, 1.1);
     f.tick();
-    assert!(refused(&f.request(2, 0, "a")), "the other rack's uplink is as full as the one heard of");
+    assert!(
+        refused(&f.request(2, 0, "a")),
+        "the other rack's uplink is taken to be as full as the reported one"
+    );
 }
 
 #[test]
-fn what_waited_while_the_front_stood_still_counts_as_older() {
-    // A note that waited two seconds must not undo what a younger one told.
+fn reports_read_after_a_stall_count_as_older() {
+    // A report that waited two seconds must not override a more recent one.
     let late = |gap: Nanos| {
         let mut f = Front::new(settings(vec![class(IDEMPOTENT, 0, 0)]), 1);
         let server = sent(&f.request(1, 0, "a")).expect("sent").0;
         f.now += 100 * MS;
         f.start(1);
-        f.note(1, server, NoteKind::LinkUse, 1.2);
+        f.report(1, server, ReportKind::LinkUse, 1.2);
         f.now += gap;
-        f.note(1, server, NoteKind::LinkUse, 0.1);
+        f.report(1, server, ReportKind::LinkUse, 0.1);
         sent(&f.request(2, 0, "a")).is_some()
     };
-    assert!(!late(2 * SECOND), "the figure from before the stall emptied the link");
+    assert!(!late(2 * SECOND), "a report from before the stall made the link look empty");
     let mut f = Front::new(settings(vec![class(IDEMPOTENT, 0, 0)]), 1);
     let server = sent(&f.request(1, 0, "a")).expect("sent").0;
     f.start(1);
-    f.note(1, server, NoteKind::LinkUse, 1.2);
+    f.report(1, server, ReportKind::LinkUse, 1.2);
     for _ in 0..10 {
         f.now += 200 * MS;
         f.tick();
     }
-    f.note(1, server, NoteKind::LinkUse, 0.1);
-    assert!(sent(&f.request(2, 0, "a")).is_some(), "a front that was awake takes it");
+    f.report(1, server, ReportKind::LinkUse, 0.1);
+    assert!(sent(&f.request(2, 0, "a")).is_some(), "a front that was not stalled accepts the report");
 }
 
 #[test]
-fn a_failed_subscription_is_asked_for_again_after_a_pause_that_grows() {
+fn failed_subscription_is_retried_with_growing_backoff() {
     let mut s = settings(vec![class(IDEMPOTENT, 0, 0)]);
-    (s.listing, s.ask_within) = (Listing::Subscribed, 10 * SECOND);
+    (s.listing, s.subscribe_within) = (Listing::Subscribed, 10 * SECOND);
     let mut f = Front::new(s, 0);
     let asks = |f: &mut Front, fail: bool, seconds: u64| {
         let mut times = Vec::new();
@@ -486,8 +494,8 @@
                 times.push(f.now);
                 if fail {
                     assert!(
-                        f.feed(Event::List { kind: ListKind::Failed, entries: vec![] }).is_empty(),
-                        "not at once"
+                        f.handle(Event::List { kind: ListKind::Failed, entries: vec![] }).is_empty(),
+                        "no retry without backoff"
                     );
                 }
             }
@@ -495,39 +503,42 @@
         times
     };
     let times = asks(&mut f, true, 30);
-    let pauses: Vec<Nanos> = times.windows(2).map(|w| w[1] - w[0]).collect();
-    assert!(pauses.windows(2).all(|w| w[0] <= w[1] + 200 * MS) && pauses[0] <= SECOND, "{pauses:?}");
-    assert!(pauses.iter().all(|&p| p < 5 * SECOND), "a listing would lapse: {pauses:?}");
-    f.feed(Event::List { kind: ListKind::Full, entries: vec![entry(0, ServerState::Ready, 0)] });
+    let pauses: Vec<Nanos> = times.windows(2).map(|observer| observer[1] - observer[0]).collect();
+    assert!(
+        pauses.windows(2).all(|observer| observer[0] <= observer[1] + 200 * MS) && pauses[0] <= SECOND,
+        "{pauses:?}"
+    );
+    assert!(pauses.iter().all(|&p| p < 5 * SECOND), "the list would expire: {pauses:?}");
+    f.handle(Event::List { kind: ListKind::Full, entries: vec![entry(0, ServerState::Ready, 0)] });
     assert!(asks(&mut f, true, 10).is_empty(), "subscribed");
-    f.feed(Event::List { kind: ListKind::Failed, entries: vec![] });
-    assert!(!asks(&mut f, false, 2).is_empty(), "a subscription that dropped is asked for again");
+    f.handle(Event::List { kind: ListKind::Failed, entries: vec![] });
+    assert!(!asks(&mut f, false, 2).is_empty(), "a dropped subscription is renewed");
 }
 
 #[test]
-fn the_account_is_charged_with_what_all_do_on_the_same_news() {
+fn estimate_includes_expected_changes_of_other_fronts() {
     let mut s = settings(vec![class(IDEMPOTENT, 0, 0)]);
     (s.fronts, s.link_per_weight, s.uplink) = (300, 110_000.0, 0.0);
     let mut f = Front::new(s, 1);
-    f.feed(Event::Adopted { wish: wish(1, 0, "a", START), server: ServerId(0) });
-    f.note(1, ServerId(0), NoteKind::RungInForce, 2.0);
+    f.handle(Event::Adopted { request: session_request(1, 0, "a", START), server: ServerId(0) });
+    f.report(1, ServerId(0), ReportKind::RungInForce, 2.0);
     for _ in 0..100 {
         f.now += 200 * MS;
         f.tick();
     }
-    f.note(1, ServerId(0), NoteKind::LinkUse, 1.05);
-    assert!(refused(&f.request(2, 0, "a")), "the link is overfull");
+    f.report(1, ServerId(0), ReportKind::LinkUse, 1.05);
+    assert!(refused(&f.request(2, 0, "a")), "the link is overloaded");
     f.tick();
-    assert!(sent(&f.request(3, 0, "a")).is_some(), "the others have stepped down as this front would");
+    assert!(sent(&f.request(3, 0, "a")).is_some(), "the other fronts are expected to have stepped down");
 }
 
 #[test]
-fn a_handshake_counts_by_its_price() {
-    // Where one connection is up: how many of forty set-ups, one at a time, go there.
-    let there = |price: f64| {
+fn handshake_price_favours_open_connections() {
+    // How many of forty successive set-ups go to the one server with an open connection.
+    let to_connected = |price: f64| {
         let mut f =
             Front::new(Settings { handshake_price: price, ..settings(vec![class(IDEMPOTENT, 0, 0)]) }, 8);
-        f.feed(Event::Reach { server: ServerId(5), reach: Reach::Open });
+        f.handle(Event::Reachability { server: ServerId(5), reachability: Reachability::Open });
         let mut go = |id| {
             let to = sent(&f.request(id, 0, "a")).expect("sent").0;
             f.end(id, to, Outcome::Served, true);
@@ -535,66 +546,72 @@
         };
         (1..=40).filter(|id| go(*id) == ServerId(5)).count()
     };
-    assert_eq!(there(0.08), 40);
-    assert!(there(0.0) < 20, "{}", there(0.0));
+    assert_eq!(to_connected(0.08), 40);
+    assert!(to_connected(0.0) < 20, "{}", to_connected(0.0));
 }
 
 #[test]
-fn a_server_that_was_out_of_reach_is_tried_last_and_comes_back_cold() {
+fn unreachable_server_is_tried_last_and_returns_cold() {
     let mut f = Front::new(settings(vec![class(IDEMPOTENT, 0, 0)]), 2);
-    f.feed(Event::Reach { server: ServerId(0), reach: Reach::Lost });
+    f.handle(Event::Reachability { server: ServerId(0), reachability: Reachability::Lost });
     for id in 1..=6 {
         assert_eq!(sent(&f.request(id, 0, "a")).map(|s| s.0), Some(ServerId(1)));
     }
-    // Nobody else is left: it is tried, and what it may bear after a start is not passed, told of a start or not.
+    // Without an alternative it is tried, within the budget of a cold server even though no start was listed.
     let entries = vec![entry(1, ServerState::Draining, 0)];
-    f.feed(Event::List { kind: ListKind::Delta, entries });
-    f.feed(Event::Reach { server: ServerId(0), reach: Reach::Closed });
+    f.handle(Event::List { kind: ListKind::Delta, entries });
+    f.handle(Event::Reachability { server: ServerId(0), reachability: Reachability::Closed });
     let sends = (11..=30).filter(|id| sent(&f.request(*id, 0, "a")).is_some()).count();
     assert_eq!(
         sends, 1,
-        "its pace is 0.67 a second, three times that for 2 s, of which a front of two has 1.6"
+        "the budget is 0.67 a second times 3 over 2 s, times 0.8 and half of it for each of two fronts: 1.6"
     );
 }
 
 #[test]
-fn the_part_of_a_cold_budget_that_is_told_is_kept_and_a_lease_runs_out() {
-    // Set-ups that a cold server of twenty streams gets in one window (4 in all, of which 0.8 are used).
+fn assigned_cold_budget_share_is_kept_and_its_lease_expires() {
+    // The number of set-ups that a cold server of twenty streams gets in one window; its budget is 4, of which
+    // a share of 0.8 is used.
     let sends = |part: Option<(f64, f64, Nanos)>, wait: Nanos| {
         let mut f = Front::new(settings(vec![class(IDEMPOTENT, 0, 0)]), 0);
-        f.feed(Event::List { kind: ListKind::Full, entries: vec![entry(0, ServerState::Ready, START)] });
-        let part = part.map(|(always, leased, span)| Event::Part { always, leased, until: START + span });
-        part.into_iter().for_each(|p| drop(f.feed(p)));
+        f.handle(Event::List { kind: ListKind::Full, entries: vec![entry(0, ServerState::Ready, START)] });
+        let part = part.map(|(guaranteed, leased, span)| Event::ColdBudgetShare {
+            guaranteed,
+            leased,
+            lease_ends_at: START + span,
+        });
+        part.into_iter().for_each(|p| drop(f.handle(p)));
         f.now += wait;
         (1..=20).filter(|id| sent(&f.request(*id, 0, "a")).is_some()).count()
     };
-    assert_eq!(sends(None, 0), 1, "one over two fronts of 3.2");
-    assert_eq!(sends(Some((0.25, 0.75, SECOND)), 0), 3, "all of it");
-    // The lease is over: what is left is under one set-up, and drawn by lot.
+    assert_eq!(sends(None, 0), 1, "half of 3.2 for each of two fronts");
+    assert_eq!(sends(Some((0.25, 0.75, SECOND)), 0), 3, "the whole budget");
+    // After the lease the remaining share is below one set-up and drawn at random.
     assert!(sends(Some((0.25, 0.75, SECOND)), SECOND) <= 1);
-    assert_eq!(sends(Some((0.7, 0.7, SECOND)), 0), 1, "more than the whole is not taken");
+    assert_eq!(sends(Some((0.7, 0.7, SECOND)), 0), 1, "shares above the whole are ignored");
 }
 
 #[test]
-fn a_server_whose_attempts_fail_does_not_look_the_best_for_being_empty() {
+fn failing_server_is_not_preferred_for_its_low_load() {
     for outcome in [Outcome::Error, Outcome::TimedOut] {
         let mut f =
             Front::new(Settings { handshake_price: 0.08, ..settings(vec![class(IDEMPOTENT, 0, 0)]) }, 4);
         let bad = sent(&f.request(1, 0, "a")).expect("sent").0;
-        f.feed(Event::Reach { server: bad, reach: Reach::Open });
+        f.handle(Event::Reachability { server: bad, reachability: Reachability::Open });
         f.end(1, bad, outcome, false);
         let to: Vec<_> = (2..8).map(|id| sent(&f.request(id, 0, "a")).map(|s| s.0)).collect();
         assert!(!to.contains(&Some(bad)), "{outcome:?} {to:?}");
-        // Trust returns with time.
+        // The penalty ends after the recovery period.
         f.now += 25 * SECOND;
         assert_eq!(sent(&f.request(20, 0, "a")).map(|s| s.0), Some(bad), "{outcome:?}");
     }
 }
 
-/// Set-ups that many fronts send to many cold servers within the first window of a crowd, over what chance allows them on
-/// average: of a budget `b` the mean leaves five deviations free.
+/// The first window of a sudden crowd must get no more cold attempts than any other. When a random number was drawn
+/// for each request, the first window got a multiple of the intended mean, which lies five standard deviations below
+/// the budget.
 #[test]
-fn a_crowd_that_comes_at_once_draws_no_more_lots_than_one_that_was_there() {
+fn sudden_crowd_stays_within_cold_budget() {
     const FRONTS: u32 = 100;
     const SERVERS: u32 = 40;
     let mut s = settings(vec![class(Effect::Idempotent, 0, 0)]);
@@ -605,46 +622,46 @@
     let mean = ((budget + 25.0 / 4.0).sqrt() - 2.5).powi(2) * f64::from(SERVERS);
     let mut sent = 0;
     for n in 0..FRONTS {
-        let mut c = Controller::new(s.clone(), u64::from(n) << 20, START).expect("sound settings");
+        let mut c = Controller::new(s.clone(), u64::from(n) << 20, START).expect("valid settings");
         let entries = (0..SERVERS).map(|n| entry(n, ServerState::Ready, at)).collect();
         let mut out = Vec::new();
         c.handle(at, Event::List { kind: ListKind::Full, entries }, &mut out);
-        // Nobody asked before; now two hundred do within one window, evenly.
+        // No requests before; then two hundred, evenly spread over one window.
         for i in 0..200 {
             let now = at + window * i / 200;
-            c.handle(now, Event::Request(wish(i + 1, 0, "t", now)), &mut out);
+            c.handle(now, Event::Request(session_request(i + 1, 0, "t", now)), &mut out);
         }
         sent += out.iter().filter(|a| matches!(a, Action::Send { .. })).count();
     }
-    // Five deviations of the sum over all fronts and servers.
+    // Five standard deviations of the sum over all fronts and servers.
     assert!((sent as f64) < mean + 5.0 * mean.sqrt(), "{sent} sent, {mean} on average");
     assert!(sent as f64 > mean / 2.0, "{sent} sent, {mean} on average");
 }
 
-/// One of 300 fronts with so many servers: two sessions are handed over to the second and the third, and what these say of
-/// their links comes with the next notes.
-fn heard_of_two(seed: u64, servers: u32, low: f64, high: f64) -> Front {
+/// One of 300 fronts with `servers` servers. It has adopted a session on the second and on the third server, which
+/// have reported a link use of `low` and `high`.
+fn front_with_two_reports(seed: u64, servers: u32, low: f64, high: f64) -> Front {
     let s = Settings { fronts: 300, uplink: 0.0, ..settings(vec![class(IDEMPOTENT, 0, 0)]) };
-    let mut f = Front { controller: Controller::new(s, seed, START).expect("sound settings"), now: START };
+    let mut f = Front { controller: Controller::new(s, seed, START).expect("valid settings"), now: START };
     let entries = (0..servers).map(|n| entry(n, ServerState::Ready, 0)).collect();
-    f.feed(Event::List { kind: ListKind::Full, entries });
+    f.handle(Event::List { kind: ListKind::Full, entries });
     for id in [1, 2] {
-        f.feed(Event::Adopted { wish: wish(id, 0, "a", START), server: ServerId(id as u32) });
+        f.handle(Event::Adopted { request: session_request(id, 0, "a", START), server: ServerId(id as u32) });
     }
     f.now += SECOND;
     for (id, value) in [(1, low), (2, high)] {
-        f.note(id, ServerId(id as u32), NoteKind::LinkUse, value);
+        f.report(id, ServerId(id as u32), ReportKind::LinkUse, value);
     }
     f.tick();
     f
 }
 
-/// How often, of so many fronts of a fleet, a set-up goes to a server that was heard of at a use of `low`, while another was
-/// heard of at `high` and six were never heard of; `wait` after the notes.
-fn sent_to_the_low_one(low: f64, high: f64, wait: Nanos) -> usize {
+/// How many of 100 fronts send a set-up to the server that reported a use of `low`, while another one reported
+/// `high` and six reported nothing; `wait` after the reports.
+fn attempts_at_lower_use(low: f64, high: f64, wait: Nanos) -> usize {
     let mut n = 0;
     for seed in 0..100u64 {
-        let mut f = heard_of_two(seed * 77, 8, low, high);
+        let mut f = front_with_two_reports(seed * 77, 8, low, high);
         f.now += wait;
         n += usize::from(sent(&f.request(9, 0, "b")).is_some_and(|s| s.0 == ServerId(1)));
     }
@@ -652,39 +669,41 @@
 }
 
 #[test]
-fn room_that_was_told_of_is_taken_for_filled_within_seconds() {
-    // Seen with 300 nodes: sixty hear of the same room at once and all go there, until the next note tells of the overload.
-    assert!(sent_to_the_low_one(0.4, 0.8, 0) > 90, "young room is used");
-    let later = sent_to_the_low_one(0.4, 0.8, 6 * SECOND);
-    assert!(later < 40, "{later} of 100 go after room that all the others heard of, too");
+fn reported_free_capacity_expires_within_seconds() {
+    // In a fleet of 300 nodes, sixty received the same report of free capacity and all used it until the next report
+    // showed the overload.
+    assert!(attempts_at_lower_use(0.4, 0.8, 0) > 90, "capacity is used right after the report");
+    let later = attempts_at_lower_use(0.4, 0.8, 6 * SECOND);
+    assert!(later < 40, "{later} of 100 still use capacity that all fronts were told of");
 }
 
-/// Where a set-up is sent, and at which rung, that only servers never heard of can take, after two others were heard of.
-fn at_a_server_never_heard_of(low: f64, high: f64) -> Option<(ServerId, Rung)> {
-    let mut f = heard_of_two(1, 4, low, high);
+/// The server and rung of a set-up for which only servers without reports are available, after two other servers
+/// reported.
+fn placement_on_unreported_server(low: f64, high: f64) -> Option<(ServerId, Rung)> {
+    let mut f = front_with_two_reports(1, 4, low, high);
     let drains = [1, 2].map(|n| entry(n, ServerState::Draining, 0)).to_vec();
-    f.feed(Event::List { kind: ListKind::Delta, entries: drains });
+    f.handle(Event::List { kind: ListKind::Delta, entries: drains });
     let actions = f.request(9, 0, "b");
     Some((sent(&actions)?.0, rung(&actions)?))
 }
 
 #[test]
-fn links_never_heard_of_count_fuller_where_others_are_over() {
-    // Seen with 300 nodes: three in five set-ups to links far over what they give went to servers never heard of, which
-    // were taken for the mean. The mean is the same in all three.
-    let even = at_a_server_never_heard_of(0.7, 0.7).expect("there is room");
-    assert_eq!(at_a_server_never_heard_of(0.45, 0.95), Some(even), "none is over");
-    let beside = at_a_server_never_heard_of(0.3, 1.1).expect("a low rung still fits");
-    assert!(beside.1 < even.1, "{beside:?} where a link is over, {even:?} where none is");
-    assert_eq!(at_a_server_never_heard_of(0.0, 1.4), None, "nothing fits where links are far over");
+fn unreported_links_count_as_fuller_if_others_are_overloaded() {
+    // In a fleet of 300 nodes, three in five set-ups on far overloaded links went to servers without reports, which were
+    // estimated by the mean alone. The mean is the same in all three cases here.
+    let even = placement_on_unreported_server(0.7, 0.7).expect("capacity is free");
+    assert_eq!(placement_on_unreported_server(0.45, 0.95), Some(even), "no link is overloaded");
+    let beside = placement_on_unreported_server(0.3, 1.1).expect("a low rung still fits");
+    assert!(beside.1 < even.1, "{beside:?} with an overloaded link, {even:?} without");
+    assert_eq!(placement_on_unreported_server(0.0, 1.4), None, "nothing fits beside far overloaded links");
 }
 
-/// Of forty set-ups, one at a time, between two servers alike: how many go to the second, when this was told at each of
-/// so many ticks, and nothing at so many after.
-fn to_the_second(events: &[Event], ticks: usize, silent: usize) -> usize {
+/// How many of forty successive set-ups go to the second of two equal servers, after `ticks` timer events that are each
+/// preceded by `events`, and `silent` further timer events.
+fn attempts_at_second_server(events: &[Event], ticks: usize, silent: usize) -> usize {
     let mut f = Front::new(settings(vec![class(IDEMPOTENT, 0, 0)]), 2);
     for n in 0..ticks + silent {
-        events.iter().filter(|_| n < ticks).for_each(|e| drop(f.feed(e.clone())));
+        events.iter().filter(|_| n < ticks).for_each(|e| drop(f.handle(e.clone())));
         f.now += 200 * MS;
         f.tick();
     }
@@ -697,53 +716,57 @@
 }
 
 #[test]
-fn a_preference_turns_what_is_alike_and_excludes_nothing() {
-    let told = |server: u32, outside| Event::Fleet { server: ServerId(server), outside, figure: None };
-    let even = to_the_second(&[], 1, 0);
-    // (what is told, how many go to the second)
+fn subset_preference_decides_ties_and_excludes_nothing() {
+    let update = |server: u32, outside_subset| Event::FleetUpdate {
+        server: ServerId(server),
+        outside_subset,
+        load: None,
+    };
+    let even = attempts_at_second_server(&[], 1, 0);
+    // The events, and how many set-ups go to the second server.
     for (events, wanted) in [
-        (vec![told(0, false), told(1, false)], even..=even),
-        (vec![told(1, true)], 0..=0),
-        (vec![told(0, true)], 40..=40),
-        (vec![told(0, true), told(1, true)], even..=even),
-        (vec![told(1, true), told(1, false)], even..=even),
-        (vec![told(7, true)], even..=even),
+        (vec![update(0, false), update(1, false)], even..=even),
+        (vec![update(1, true)], 0..=0),
+        (vec![update(0, true)], 40..=40),
+        (vec![update(0, true), update(1, true)], even..=even),
+        (vec![update(1, true), update(1, false)], even..=even),
+        (vec![update(7, true)], even..=even),
     ] {
-        let went = to_the_second(&events, 1, 0);
+        let went = attempts_at_second_server(&events, 1, 0);
         assert!(wanted.contains(&went), "{went} of 40 by {events:?}");
     }
-    // The one that is preferred drains, or is full: the other is asked.
+    // If the preferred server drains or is full, the other one is used.
     let mut f = Front::new(settings(vec![class(IDEMPOTENT, 0, 0)]), 2);
-    f.feed(told(1, true));
+    f.handle(update(1, true));
     let first = sent(&f.request(1, 0, "a")).expect("sent").0;
     f.end(1, first, Outcome::Full, false);
     assert_eq!(first, ServerId(0));
-    f.feed(Event::List { kind: ListKind::Delta, entries: vec![entry(0, ServerState::Draining, 0)] });
+    f.handle(Event::List { kind: ListKind::Delta, entries: vec![entry(0, ServerState::Draining, 0)] });
     assert_eq!(sent(&f.request(2, 0, "a")).map(|s| s.0), Some(ServerId(1)));
 }
 
 #[test]
-fn a_figure_moves_the_account_by_the_own_part_of_the_gap_while_it_is_young() {
-    let told = |carried, wanted, age, complete| Event::Fleet {
+fn fleet_load_shifts_choice_until_it_expires() {
+    let update = |carried, target, age, coverage| Event::FleetUpdate {
         server: ServerId(1),
-        outside: false,
-        figure: Some(Figure { carried, wanted, age, complete }),
+        outside_subset: false,
+        load: Some(FleetLoad { carried, target, age, coverage }),
     };
-    let even = to_the_second(&[], 100, 0);
-    // For a time constant of the filter.
+    let even = attempts_at_second_server(&[], 100, 0);
+    // 100 timer events are one time constant of the correction.
     for (event, wanted) in [
-        (told(150.0, 100.0, 0, 1.0), 0..=even / 2),
-        (told(50.0, 100.0, 0, 1.0), even + even / 2..=40),
-        (told(100.0, 100.0, 0, 1.0), even..=even),
-        (told(150.0, 100.0, 0, 0.0), even..=even),
-        (told(150.0, 100.0, 9 * SECOND, 1.0), even..=even),
-        (told(f64::NAN, 100.0, 0, 1.0), even..=even),
-        (told(150.0, 100.0, 0, f64::NAN), even..=even),
+        (update(150.0, 100.0, 0, 1.0), 0..=even / 2),
+        (update(50.0, 100.0, 0, 1.0), even + even / 2..=40),
+        (update(100.0, 100.0, 0, 1.0), even..=even),
+        (update(150.0, 100.0, 0, 0.0), even..=even),
+        (update(150.0, 100.0, 9 * SECOND, 1.0), even..=even),
+        (update(f64::NAN, 100.0, 0, 1.0), even..=even),
+        (update(150.0, 100.0, 0, f64::NAN), even..=even),
     ] {
-        let went = to_the_second(std::slice::from_ref(&event), 100, 0);
-        assert!(wanted.contains(&went), "{went} of 40, {even} untold, by {event:?}");
+        let went = attempts_at_second_server(std::slice::from_ref(&event), 100, 0);
+        assert!(wanted.contains(&went), "{went} of 40, {even} without an event, by {event:?}");
     }
-    // Minutes later it counts for nothing.
-    let gap = [told(150.0, 100.0, 0, 1.0)];
-    assert_eq!(to_the_second(&gap, 100, 1400), to_the_second(&[], 1500, 0));
+    // Minutes later it has no effect any more.
+    let gap = [update(150.0, 100.0, 0, 1.0)];
+    assert_eq!(attempts_at_second_server(&gap, 100, 1400), attempts_at_second_server(&[], 1500, 0));
 }
--- a/crates/micadyke/tests/solver.rs
+++ b/crates/micadyke/tests/solver.rs
@@ -1,9 +1,9 @@
-//! The fluid programme against brute force.
+//! The solver of the fluid programme, compared with a brute-force search.
 
-use micadyke::decide::{FluidType, Prices, dual_value, solve};
+use micadyke::decide::{FluidClass, Prices, dual_value, solve};
 use proptest::prelude::*;
 
-fn kinds() -> impl Strategy<Value = Vec<FluidType>> {
+fn kinds() -> impl Strategy<Value = Vec<FluidClass>> {
     let steps = prop::collection::vec((0.1f64..2.0, 0.01f64..1.0), 1..5);
     prop::collection::vec((0.1f64..1.0, steps), 1..4).prop_map(|classes| {
         let sum: f64 = classes.iter().map(|c| c.0).sum();
@@ -15,7 +15,10 @@
             };
             steps.into_iter().map(rise).collect::<Vec<_>>()
         };
-        classes.into_iter().map(|(w, steps)| FluidType { weight: w / sum, rungs: ladder(steps) }).collect()
+        classes
+            .into_iter()
+            .map(|(observer, steps)| FluidClass { weight: observer / sum, rungs: ladder(steps) })
+            .collect()
     })
 }
 
@@ -25,9 +28,9 @@
         ..ProptestConfig::default()
     })]
 
-    /// No point of a fine grid of prices, nor one near the solution, has a lower dual value.
+    /// No point of a coarse grid of prices nor of a fine grid around the solution has a lower dual value.
     #[test]
-    fn no_prices_are_better(kinds in kinds(), link in 0.05f64..3.0, streams in 0.05f64..1.5) {
+    fn no_other_prices_have_a_lower_dual_value(kinds in kinds(), link in 0.05f64..3.0, streams in 0.05f64..1.5) {
         let best = solve(&kinds, link, streams);
         prop_assert!(best.rate >= 0.0 && best.stream >= 0.0);
         let value = dual_value(&kinds, link, streams, best);
@@ -45,26 +48,26 @@
         }
     }
 
-    /// Strong duality with one class and ample streams: the primal is filled greedily along the hull.
+    /// Resources that do not bind have no price.
     #[test]
-    fn ample_budgets_cost_nothing(kinds in kinds()) {
+    fn ample_budgets_have_zero_prices(kinds in kinds()) {
         let p = solve(&kinds, 100.0, 100.0);
         prop_assert_eq!(p, Prices { rate: 0.0, stream: 0.0 });
     }
 }
 
 #[test]
-fn a_binding_link_is_priced_at_the_marginal_rung() {
-    // Half of the set-ups can have the upper rung: its extra worth over its extra rate is the price.
-    let kind = FluidType { weight: 1.0, rungs: vec![(1.0, 0.5), (2.0, 0.8)] };
+fn binding_link_is_priced_at_marginal_rung() {
+    // Half of the set-ups can have the upper rung, so the price is its extra worth over its extra rate.
+    let kind = FluidClass { weight: 1.0, rungs: vec![(1.0, 0.5), (2.0, 0.8)] };
     let p = solve(&[kind], 1.5, 10.0);
     assert!((p.rate - 0.3).abs() < 1e-9 && p.stream == 0.0, "{p:?}");
 }
 
 #[test]
-fn a_binding_link_turns_the_cheaper_class_away() {
-    let dear = FluidType { weight: 0.5, rungs: vec![(1.0, 2.0)] };
-    let cheap = FluidType { weight: 0.5, rungs: vec![(1.0, 1.0)] };
+fn binding_link_excludes_class_of_lower_worth() {
+    let dear = FluidClass { weight: 0.5, rungs: vec![(1.0, 2.0)] };
+    let cheap = FluidClass { weight: 0.5, rungs: vec![(1.0, 1.0)] };
     let p = solve(&[dear, cheap], 0.5, 10.0);
     assert!(2.0 - p.rate >= 0.0 && p.rate >= 1.0 - 1e-9, "{p:?}");
 }
--- a/crates/node/src/books.rs
+++ b/crates/node/src/books.rs
@@ -10,9 +10,9 @@
 use micadyke::interface::*;
 use micadyke_directory as directory;
 use micadyke_isup as isup;
-use micadyke_recovery::phases::{Phase, Phases};
+use micadyke_recovery::phases::{Phase, RecoveryPhases};
 use micadyke_rtsp::{Message, Parser};
-use micadyke_settings::{Names, Terms};
+use micadyke_settings::{ConnectionSettings, Names};
 use rand::rngs::StdRng;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -58,7 +58,7 @@
     pub(crate) due: Nanos,
     pub(crate) stage: Stage,
     /// Notes that came ahead of the answer, the last of each kind.
-    pub(crate) early: Vec<(NoteKind, f64)>,
+    pub(crate) early: Vec<(ReportKind, f64)>,
 }
 
 impl Session {
@@ -128,7 +128,7 @@
 pub struct Node<D> {
     pub(crate) decide: D,
     pub(crate) names: Names,
-    pub(crate) terms: Terms,
+    pub(crate) connection_settings: ConnectionSettings,
     pub(crate) cells: u32,
     pub(crate) rungs: usize,
     pub(crate) now: Nanos,
@@ -181,7 +181,7 @@
 /// A node's recovery.
 #[derive(Debug)]
 pub(crate) struct Recovering {
-    pub(crate) phases: Phases,
+    pub(crate) phases: RecoveryPhases,
     /// The phase that was last told of.
     pub(crate) told: Phase,
     /// Servers that were asked whether they live.
@@ -238,7 +238,7 @@
     /// Its state is by what others say alone.
     pub(crate) hearsay: bool,
     /// What the module was last told of the way there.
-    pub(crate) reach: Reach,
+    pub(crate) reach: Reachability,
 }
 
 /// A viewer's connection.
