--- a/crates/subset/src/error.rs
+++ b/crates/subset/src/error.rs
@@ -1,43 +1,45 @@
+//! Errors in the settings of subsets, turns and control laws, with advice for operators.
+
 use crate::Nanos;
 
-/// Terms that would not do what they are for.
+/// A setting that is out of range.
 #[derive(Debug, Clone, Copy, PartialEq, thiserror::Error)]
 pub enum Error {
-    /// A subset without a server.
-    #[error("a working subset of no servers")]
+    /// The minimum size of a subset is 0.
+    #[error("a working subset needs at least one server")]
     NoServers,
-    /// No node need hold a server.
-    #[error("servers need not be held by any node")]
+    /// The minimum number of nodes for each server is 0.
+    #[error("each server needs at least one node that works with it")]
     NoHolders,
-    /// A part that is none.
-    #[error("{0} is no part between 0 and 1")]
-    NoPart(f64),
-    /// A rate at which nothing is ever widened.
-    #[error("a subset that widens by {0} servers a second")]
-    NoRate(f64),
-    /// A window too short to be divided.
-    #[error("a window of {window} ns in {slots} slots")]
-    NoWindow {
+    /// A share is not between 0 and 1.
+    #[error("share out of range: {0} is not between 0 and 1")]
+    InvalidShare(f64),
+    /// The rate at which subsets widen is not positive.
+    #[error("invalid rate of widening: {0} servers a second")]
+    InvalidRate(f64),
+    /// The window is too short for its slots.
+    #[error("invalid window: {window} ns in {slots} slots")]
+    InvalidWindow {
         /// The window, in nanoseconds.
         window: Nanos,
-        /// Its slots.
+        /// Number of its slots.
         slots: u32,
     },
-    /// A law without a filter, gain or period.
-    #[error("a control law whose gain, filter, period or bound is not above 0 and finite")]
-    NoLaw,
-    /// Figures come too late for the gain.
-    #[error("figures {lag} ns old at a delay margin of {margin} ns: less than twice is left")]
+    /// A parameter of the control law is not positive and finite.
+    #[error("gain, time constant, period and bound of a control law must be above 0 and finite")]
+    InvalidLaw,
+    /// The control law is unstable at the age of the figures.
+    #[error("control law unstable: figures {lag} ns old exceed half of the delay margin of {margin} ns")]
     Unstable {
-        /// The age of figures with the law's own period, in nanoseconds.
+        /// The age of the figures plus the period of the law, in nanoseconds.
         lag: Nanos,
-        /// At this delay it swings for ever, in nanoseconds.
+        /// The delay from which the law oscillates without end, in nanoseconds.
         margin: Nanos,
     },
 }
 
 impl Error {
-    /// What an operator can do, in a sentence.
+    /// What an operator can do about the error, in one sentence.
     ///
     /// ```
     /// use micadyke_subset::Error;
@@ -45,16 +47,18 @@
     /// ```
     pub fn advice(&self) -> &'static str {
         match self {
-            Error::NoServers => "Set the least size of a subset to 1 or more; 20 is usual.",
-            Error::NoHolders => "Set the number of nodes that hold each server to 1 or more; 2 is usual.",
-            Error::NoPart(_) => "Give a part above 0 and up to 1.",
-            Error::NoRate(_) => "Give a rate above 0 and a burst of 1 or more; 2 a second and 4 are usual.",
-            Error::NoWindow { .. } => {
+            Error::NoServers => "Set the minimum size of a subset to 1 or more; 20 is usual.",
+            Error::NoHolders => "Set the minimum number of nodes for each server to 1 or more; 2 is usual.",
+            Error::InvalidShare(_) => "Give a share above 0 and up to 1.",
+            Error::InvalidRate(_) => {
+                "Give a rate above 0 and a burst of 1 or more; 2 a second and 4 are usual."
+            }
+            Error::InvalidWindow { .. } => {
                 "Give a window of 1 ms or more for each slot, and 1 to 32 slots; 4 s and 6 are usual."
             }
-            Error::NoLaw => "Leave the law's numbers out, so that the built-in ones hold.",
+            Error::InvalidLaw => "Leave the parameters of the law out, so that the built-in ones apply.",
             Error::Unstable { .. } => {
-                "Lower the gain, lengthen the filter, or ask for the figures more often."
+                "Lower the gain, lengthen the time constant, or collect the figures more often."
             }
         }
     }
--- a/crates/subset/src/lib.rs
+++ b/crates/subset/src/lib.rs
@@ -1,14 +1,15 @@
-//! Which servers a front node works with first, whose turn it is to look at a silent one, and how much of a shared figure
-//! one node answers.
+//! Subsetting: which servers a front node prefers, which node probes an unresponsive server, and how nodes together
+//! correct an uneven load.
 //!
-//! Members and servers in, a working subset and turns out; the same words in give the same out at every node. A subset is
-//! a preference and never an exclusion: no rule's safety rests on agreement about it. No I/O, no clock, no chance.
+//! All results are computed from the members and servers alone, so that nodes with the same view reach the same result.
+//! A subset is a preference and never an exclusion: no safety property depends on nodes agreeing about it. The crate has
+//! no I/O, no clock and no randomness.
 //!
-//! - [`working`]: the subset itself, with the part of a node's traffic for each server ([`plan`]);
-//! - [`widen`]: how a node goes beyond it, at a bounded rate, and comes back;
-//! - [`turns`]: who looks at a silent server in a window, who asks the directory for a zone;
-//! - [`damp`]: the control law by which each node answers its own part of a gap;
-//! - [`settings`]: what an operator states.
+//! - [`working`]: the subset itself, with the share of a node's traffic for each server ([`plan`]);
+//! - [`widen`]: how a node extends its subset at a bounded rate, and shrinks it again;
+//! - [`turns`]: which node probes an unresponsive server in a window, and which one queries the directory for a zone;
+//! - [`damp`]: the control law by which each node corrects its own share of an imbalance;
+//! - [`settings`]: the settings of an operator.
 #![warn(missing_docs)]
 
 pub mod damp;
@@ -19,30 +20,30 @@
 pub mod widen;
 pub mod working;
 
-pub use damp::{Damper, Figure, Law};
+pub use damp::{BalanceController, ControlLaw, LoadFigure};
 pub use error::Error;
-pub use turns::{Matter, Watch};
-pub use widen::{State, Widen};
-pub use working::{Plan, Preferred, Why, plan};
+pub use turns::{Task, TaskHistory};
+pub use widen::{ServerStatus, SubsetWidener};
+pub use working::{Plan, Preferred, Reason, plan};
 
-/// A point in time or a span of it, in nanoseconds of one clock that never runs backwards.
+/// A point in time or a duration, in nanoseconds of one monotonic clock.
 pub type Nanos = u64;
 
-/// A front node, as the view names it.
+/// A front node.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Node {
-    /// Its name in the view.
+    /// Its name in the membership view.
     pub name: String,
     /// Its zone.
     pub zone: String,
-    /// Its traffic beside the others', 1 on the mean.
+    /// Its traffic relative to the mean of all nodes.
     pub capacity: f64,
 }
 
-/// A server, as the list names it.
+/// A server.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Server {
-    /// Its id in the list.
+    /// Its id in the server list.
     pub id: String,
     /// Its zone.
     pub zone: String,
--- a/crates/subset/src/settings.rs
+++ b/crates/subset/src/settings.rs
@@ -1,136 +1,142 @@
-//! Settings of subsets and turns: a checked S-expression beside membership's, in the same file.
+//! Settings of subsets and turns: the form `subset` in the file that also holds the form `membership`.
 //!
 //! ```text
 //! (membership ...)
 //! (subset
-//!   (working                          ; off where not given: the node works with all servers alike
-//!     (least 20) (held-by 2)          ; servers of a node, nodes of a server, at least
-//!     (enough 75%) (rate 2) (burst 4) (hold 5s))   ; how it widens when short
-//!   (turns (window 4s) (slots 6))     ; off where not given: each node looks by itself
-//!   (nodes "kochi-" (zone "kochi"))   ; names that begin so, the longest beginning first
+//!   (working                          ; if missing, the node works with all servers alike
+//!     (least 20) (held-by 2)          ; minimum servers of a node, minimum nodes of a server
+//!     (enough 75%) (rate 2) (burst 4) (hold 5s))   ; how it widens when servers are unusable
+//!   (turns (window 4s) (slots 6))     ; if missing, each node probes on its own
+//!   (nodes "kochi-" (zone "kochi"))   ; nodes by name prefix; the longest matching prefix applies
 //!   (nodes "kochi-7" (zone "kochi") (capacity 3)))
 //! ```
 //!
-//! The same at all nodes but for what is meant to differ; where it differs by mistake, subsets do as well, and no more.
+//! All nodes should have the same settings. Nodes with different settings compute different subsets, which has no other
+//! consequence.
 
 use crate::{Nanos, Node, turns, widen, working};
 use micadyke_config::units::Unit;
 use micadyke_config::{Diagnostic, Form, read_file};
 
-/// Beginnings of names at most.
-const MOST: usize = 4096;
+/// Maximum number of node groups.
+const MAX_NODE_GROUPS: usize = 4096;
 
-/// What is known of nodes whose names begin alike.
+/// Zone and capacity of the nodes with a common name prefix.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Kin {
-    /// How the names begin.
-    pub names: String,
+pub struct NodeGroup {
+    /// The name prefix.
+    pub name_prefix: String,
     /// Their zone.
     pub zone: String,
-    /// The traffic of each beside the others', 1 on the mean.
+    /// The traffic of each node relative to the mean of all nodes.
     pub capacity: f64,
 }
 
-/// What a node is told of subsets and turns.
+/// The settings of subsets and turns.
 #[derive(Debug, Clone, PartialEq, Default)]
-pub struct Terms {
-    /// How a working subset is drawn and widened; none: the node works with all alike.
-    pub working: Option<(working::Terms, widen::Terms)>,
-    /// How turns are cut; none: each node looks by itself.
-    pub turns: Option<turns::Terms>,
-    /// What is known of nodes; of others, that their traffic is 1 and their zone has no name.
-    pub nodes: Vec<Kin>,
+pub struct SubsetSettings {
+    /// How a working subset is drawn and widened; `None`: the node works with all servers alike.
+    pub working: Option<(working::DrawSettings, widen::WidenSettings)>,
+    /// The windows and slots of turns; `None`: each node probes on its own.
+    pub turns: Option<turns::TurnSettings>,
+    /// Groups of nodes. Other nodes have a capacity of 1 and a zone without name.
+    pub nodes: Vec<NodeGroup>,
 }
 
-impl Terms {
-    /// A node by its name in the view.
+impl SubsetSettings {
+    /// The node with this name: its zone and capacity are those of the group with the longest matching prefix.
     ///
     /// ```
     /// use micadyke_subset::settings::read;
     /// let text = r#"(subset (nodes "a-" (zone "a")) (nodes "a-7" (zone "a") (capacity 3)))"#;
-    /// let terms = read(text, "n.sexp").unwrap().unwrap();
-    /// let [usual, busy, other] = ["a-1", "a-7", "b"].map(|n| terms.node(n));
+    /// let settings = read(text, "n.sexp").unwrap().unwrap();
+    /// let [usual, busy, other] = ["a-1", "a-7", "b"].map(|n| settings.node(n));
     /// assert_eq!((usual.zone.as_str(), usual.capacity, busy.capacity, other.zone.as_str()), ("a", 1.0, 3.0, ""));
     /// ```
     pub fn node(&self, name: &str) -> Node {
-        let kin = self.nodes.iter().filter(|k| name.starts_with(&k.names)).max_by_key(|k| k.names.len());
-        let (zone, capacity) = kin.map_or((String::new(), 1.0), |k| (k.zone.clone(), k.capacity));
+        let group = self
+            .nodes
+            .iter()
+            .filter(|k| name.starts_with(&k.name_prefix))
+            .max_by_key(|k| k.name_prefix.len());
+        let (zone, capacity) = group.map_or((String::new(), 1.0), |k| (k.zone.clone(), k.capacity));
         Node { name: name.to_owned(), zone, capacity }
     }
 }
 
-/// Reads the form `subset` of a file, where there is one; other forms are others'.
+/// Reads the form `subset` of a file, or returns `None` if there is none. Other forms are ignored.
 ///
 /// # Errors
 ///
-/// Each fault with its place.
+/// All errors with their positions.
 ///
 /// ```
 /// use micadyke_subset::settings::read;
 /// assert_eq!(read("(membership)", "n3.sexp"), Ok(None));
-/// let terms = read("(membership) (subset (turns (slots 4)))", "n3.sexp").unwrap().unwrap();
-/// assert_eq!((terms.working, terms.turns.map(|t| t.slots)), (None, Some(4)));
+/// let settings = read("(membership) (subset (turns (slots 4)))", "n3.sexp").unwrap().unwrap();
+/// assert_eq!((settings.working, settings.turns.map(|t| t.slots)), (None, Some(4)));
 /// assert!(read("(subset (turns (window 9ms)))", "n3.sexp").is_err());
 /// ```
-pub fn read(text: &str, file: &str) -> Result<Option<Terms>, Vec<Diagnostic>> {
+pub fn read(text: &str, file: &str) -> Result<Option<SubsetSettings>, Vec<Diagnostic>> {
     read_file(text, file, "the settings are incomplete", |nodes, faults| {
         let forms: Vec<Form> = nodes.iter().filter_map(|n| Form::of(n, faults)).collect();
         let mut ours = forms.iter().filter(|f| f.word == "subset");
         let Some(form) = ours.next() else { return Some(None) };
         if let Some(more) = ours.next() {
-            more.fault("one form 'subset' is due at most");
+            more.fault("at most one form 'subset' is allowed");
         }
         form.allow(&["working", "turns"], &["nodes"]);
         let number = |f: &Form, name, least, most, or| f.get(name, Unit::Number, (least, most), Some(or));
         let working = form.part("working").map(|f| {
             f.allow(&["least", "held-by", "enough", "rate", "burst", "hold"], &[]);
-            let (draw, more) = (working::Terms::default(), widen::Terms::default());
-            let draw = working::Terms {
-                least: f.count("least", 1, 4096, Some(draw.least as u64)) as usize,
-                held_by: f.count("held-by", 1, 4096, Some(draw.held_by as u64)) as usize,
+            let (draw, widen) = (working::DrawSettings::default(), widen::WidenSettings::default());
+            let draw = working::DrawSettings {
+                min_servers: f.count("least", 1, 4096, Some(draw.min_servers as u64)) as usize,
+                min_holders: f.count("held-by", 1, 4096, Some(draw.min_holders as u64)) as usize,
             };
-            let more = widen::Terms {
-                enough: f.get("enough", Unit::Share, (0.01, 1.0), Some(more.enough)),
-                rate: number(&f, "rate", 0.01, 1_000.0, more.rate),
-                burst: number(&f, "burst", 1.0, 1_000.0, more.burst),
-                hold: f.get("hold", Unit::Time, (0.0, 3_600e9), Some(more.hold as f64)) as Nanos,
+            let widen = widen::WidenSettings {
+                min_usable: f.get("enough", Unit::Share, (0.01, 1.0), Some(widen.min_usable)),
+                servers_per_second: number(&f, "rate", 0.01, 1_000.0, widen.servers_per_second),
+                burst: number(&f, "burst", 1.0, 1_000.0, widen.burst),
+                release_delay: f.get("hold", Unit::Time, (0.0, 3_600e9), Some(widen.release_delay as f64))
+                    as Nanos,
             };
-            let sound = draw.check().and(more.check());
-            sound.err().into_iter().for_each(|e| f.fault(format!("{e}. {}", e.advice())));
-            (draw, more)
+            let checked = draw.check().and(widen.check());
+            checked.err().into_iter().for_each(|e| f.fault(format!("{e}. {}", e.advice())));
+            (draw, widen)
         });
         let turns = form.part("turns").map(|f| {
             f.allow(&["window", "slots"], &[]);
-            let usual = turns::Terms::default();
-            let terms = turns::Terms {
-                window: f.get("window", Unit::Time, (1e6, 60e9), Some(usual.window as f64)) as Nanos,
-                slots: f.count("slots", 1, 32, Some(u64::from(usual.slots))) as u32,
+            let default = turns::TurnSettings::default();
+            let settings = turns::TurnSettings {
+                window: f.get("window", Unit::Time, (1e6, 60e9), Some(default.window as f64)) as Nanos,
+                slots: f.count("slots", 1, 32, Some(u64::from(default.slots))) as u32,
             };
-            // A slot is as long as news takes to most nodes: shorter ones have all of them look.
-            if terms.check().is_err() || terms.window / u64::from(terms.slots.max(1)) < SLOT {
-                f.fault("turns: a slot lasts less than 100 ms, and news does not reach most nodes in it");
+            // A slot must last until a result has reached most nodes, or all nodes act in every window.
+            if settings.check().is_err() || settings.window / u64::from(settings.slots.max(1)) < MIN_SLOT {
+                f.fault("turns: a slot lasts less than 100 ms, too short for a result to reach most nodes");
             }
-            terms
+            settings
         });
-        let kin = form.parts().filter(|f| f.word == "nodes").map(|f| {
+        let groups = form.parts().filter(|f| f.word == "nodes").map(|f| {
             f.allow(&["zone", "capacity"], &[]);
             let names = match f.arguments() {
                 [one] => one.text().unwrap_or_default(),
                 _ => "",
             };
             if names.is_empty() {
-                f.fault("'nodes' takes one beginning of names, before its parts");
+                f.fault("'nodes' takes one name prefix, before its parts");
             }
             let (zone, capacity) = (f.word_of("zone", None), number(&f, "capacity", 0.01, 100.0, 1.0));
-            Kin { names: names.to_owned(), zone: zone.to_owned(), capacity }
+            NodeGroup { name_prefix: names.to_owned(), zone: zone.to_owned(), capacity }
         });
-        let nodes: Vec<Kin> = kin.collect();
-        if nodes.len() > MOST {
-            form.fault(format!("{} parts 'nodes'; {MOST} at most", nodes.len()));
+        let nodes: Vec<NodeGroup> = groups.collect();
+        if nodes.len() > MAX_NODE_GROUPS {
+            form.fault(format!("{} parts 'nodes'; at most {MAX_NODE_GROUPS} are allowed", nodes.len()));
         }
-        Some(Some(Terms { working, turns, nodes }))
+        Some(Some(SubsetSettings { working, turns, nodes }))
     })
 }
 
-/// The shortest slot.
-const SLOT: Nanos = 100_000_000;
+/// Minimum duration of a slot.
+const MIN_SLOT: Nanos = 100_000_000;
--- a/crates/tokens/src/ledger.rs
+++ b/crates/tokens/src/ledger.rs
@@ -3,7 +3,7 @@
 use crate::Nanos;
 use crate::message::{Key, LeaseId, MAX_OPS, MAX_RESUME, Op, Refusal, Reply, Request, Verdict};
 use crate::wheel::Wheel;
-use micadyke_recovery::record::{self, Change, Kept, Record};
+use micadyke_recovery::record::{self, Change, Record, StoredState};
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
 
@@ -68,14 +68,14 @@
     /// believed as far as there is room beside.
     ///
     /// ```
-    /// use micadyke_recovery::record::Kept;
+    /// use micadyke_recovery::record::StoredState;
     /// use micadyke_tokens::ledger::{Ledger, Terms};
     /// use micadyke_tokens::message::{Key, LeaseId, Op, Request, Verdict};
     ///
     /// let seats = [("c".into(), 1)].into();
     /// let terms = Terms { ttl: 1_000, seats, most_holders: 9, most_leases: 9 };
     /// // Its leases ran for longer before: that is waited for.
-    /// let mut ledger = Ledger::kept(terms, &Kept { ttl: Some(5_000), ..Kept::default() }, 0, 0.0);
+    /// let mut ledger = Ledger::kept(terms, &StoredState { ttl: Some(5_000), ..StoredState::default() }, 0, 0.0);
     /// let key = Key { title: "t".into(), class: "c".into() };
     /// let mut ask = |now, seq| {
     ///     let ops = vec![Op::Grant(LeaseId(seq), key.clone())];
@@ -85,7 +85,7 @@
     /// assert_eq!(ask(4_999, 1), Ok(vec![Verdict::Wait]));
     /// assert_eq!(ask(5_000, 2), Ok(vec![Verdict::Held]));
     /// ```
-    pub fn kept(terms: Terms, kept: &Kept, now: Nanos, drift: f64) -> Self {
+    pub fn kept(terms: Terms, kept: &StoredState, now: Nanos, drift: f64) -> Self {
         let ttl = terms.ttl.max(kept.ttl.unwrap_or(0));
         let until = now + ttl + (ttl as f64 * 2.0 * drift) as Nanos;
         let mut ledger = Ledger { recovering: Some(until), ..Self::new(terms, now) };
@@ -102,7 +102,7 @@
                 .or_insert_with(|| Holder { unheard: true, ..Holder::default() });
             ledger.count(until, &name, LeaseId(*lease), &key);
         }
-        ledger.changes = Some(vec![Change::Keep(Record::Ttl(ttl))]);
+        ledger.changes = Some(vec![Change::Put(Record::Ttl(ttl))]);
         ledger
     }
 
@@ -159,13 +159,13 @@
         self.expired = out;
         if self.recovering.take_if(|until| *until <= now).is_some() {
             let ttl = self.terms.ttl;
-            self.note(|| Change::Keep(Record::Ttl(ttl)));
+            self.note(|| Change::Put(Record::Ttl(ttl)));
         }
     }
 
     fn free(&mut self, name: &str, lease: LeaseId) {
         let Some((key, _)) = self.holders.get_mut(name).and_then(|h| h.leases.remove(&lease)) else { return };
-        self.note(|| Change::Gone(record::Key::Lease(name.to_owned(), lease.0)));
+        self.note(|| Change::Delete(record::Key::Lease(name.to_owned(), lease.0)));
         self.leases -= 1;
         if let Some(n) = self.counts.get_mut(&key) {
             *n -= 1;
@@ -220,7 +220,7 @@
         holder.unheard = false;
         if renamed {
             let (name, epoch, start) = (request.holder.clone(), request.epoch, request.start);
-            self.note(|| Change::Keep(Record::Holder { name, epoch, start }));
+            self.note(|| Change::Put(Record::Holder { name, epoch, start }));
         }
         let mut verdicts = Vec::with_capacity(request.resume.len() + request.ops.len());
         for (lease, key) in &request.resume {
@@ -263,7 +263,7 @@
         self.count(until, name, lease, key);
         self.note(|| {
             let (title, class) = (key.title.to_string(), key.class.to_string());
-            Change::Keep(Record::Lease { holder: name.to_string(), lease: lease.0, title, class })
+            Change::Put(Record::Lease { holder: name.to_string(), lease: lease.0, title, class })
         });
         Verdict::Held
     }
--- a/crates/tokens/src/store.rs
+++ b/crates/tokens/src/store.rs
@@ -7,7 +7,7 @@
 //! Until it kept a store, a front kept a log: lines of a checksum and a record as JSON. [`read_log`] still reads one, once.
 
 use crate::message::{Key, LeaseId};
-use micadyke_recovery::record::{self, Change, Kept};
+use micadyke_recovery::record::{self, Change, StoredState};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
@@ -26,13 +26,13 @@
 impl From<Record> for Change {
     fn from(record: Record) -> Self {
         match record {
-            Record::Epoch(n) => Change::Keep(record::Record::Epoch(n)),
-            Record::Held(lease, key) => Change::Keep(record::Record::Seat {
+            Record::Epoch(n) => Change::Put(record::Record::Epoch(n)),
+            Record::Held(lease, key) => Change::Put(record::Record::Seat {
                 lease: lease.0,
                 title: key.title.to_string(),
                 class: key.class.to_string(),
             }),
-            Record::Gone(lease) => Change::Gone(record::Key::Seat(lease.0)),
+            Record::Gone(lease) => Change::Delete(record::Key::Seat(lease.0)),
         }
     }
 }
@@ -51,8 +51,8 @@
 /// Epochs that may lie behind a damaged place: restarts whose records were lost.
 const SKIP: u64 = 1 << 16;
 
-impl From<&Kept> for State {
-    fn from(kept: &Kept) -> Self {
+impl From<&StoredState> for State {
+    fn from(kept: &StoredState) -> Self {
         let held = kept.seats.iter().map(|(lease, (title, class))| {
             (LeaseId(*lease), Key { title: title.as_str().into(), class: class.as_str().into() })
         });
--- a/crates/tokens/tests/seats.rs
+++ b/crates/tokens/tests/seats.rs
@@ -1,6 +1,6 @@
 //! Seats under loss, doubling, reordering, restarts and clocks that disagree: never more in use than there are.
 
-use micadyke_recovery::record::Kept;
+use micadyke_recovery::record::StoredState;
 use micadyke_tokens::Nanos;
 use micadyke_tokens::holder::{Holder, Output, Terms as HolderTerms, User};
 use micadyke_tokens::ledger::{Ledger, Terms as LedgerTerms};
@@ -348,14 +348,14 @@
 fn issuer_ends(seed: u64, careless: bool) -> usize {
     let mut world = World::new(seed, 3);
     (world.loss, world.lost_disks) = (0.1, 0.2);
-    let mut disks = vec![Kept::default()];
-    let mut disk = Kept::default();
+    let mut disks = vec![StoredState::default()];
+    let mut disk = StoredState::default();
     world.ledger = Ledger::kept(ledger_terms(), &disk, world.issuer_now(), DRIFT);
     for n in 0..2_400u32 {
         world.step(50 * MS);
         world.act();
         for change in world.ledger.changes() {
-            disk.change(change);
+            disk.apply(change);
         }
         if n % 50 == 0 {
             disks.push(disk.clone());
@@ -389,8 +389,8 @@
 
 #[test]
 fn what_an_issuer_kept_tells_starts_apart_and_holds_seats_for_those_who_had_them() {
-    let mut ledger = Ledger::kept(ledger_terms(), &Kept::default(), 0, 0.0);
-    let mut disk = Kept::default();
+    let mut ledger = Ledger::kept(ledger_terms(), &StoredState::default(), 0, 0.0);
+    let mut disk = StoredState::default();
     let grants = |n: u64| (0..n).map(|n| Op::Grant(LeaseId(n), key("t"))).collect();
     let ask = |holder: &str, epoch, start, seq, resume, ops| Request {
         holder: holder.into(),
@@ -403,7 +403,7 @@
     ledger.tick(TTL);
     let had = ledger.handle(TTL, &ask("a", 4, 7, 1, Vec::new(), grants(u64::from(SEATS))));
     assert_eq!(had.result, Ok(vec![Verdict::Held; SEATS as usize]));
-    ledger.changes().into_iter().for_each(|c| disk.change(c));
+    ledger.changes().into_iter().for_each(|c| disk.apply(c));
     assert_eq!((disk.ttl, disk.leases.len(), disk.holders["a"]), (Some(TTL), SEATS as usize, (4, 7)));
     let mut ledger = Ledger::kept(ledger_terms(), &disk, 0, 0.0);
     let claim = || vec![(LeaseId(0), key("t"))];
--- a/fuzz/fuzz_targets/rtsp.rs
+++ b/fuzz/fuzz_targets/rtsp.rs
@@ -28,6 +28,6 @@
     assert_eq!(whole, read(&[a, b]).0);
     assert!(whole.iter().all(|m| m.body.len() <= LONGEST));
     for m in whole {
-        let _ = (m.named_session(), m.number(), m.encode());
+        let _ = (m.session_id(), m.sequence_number(), m.encode());
     }
 });
