--- a/crates/cli/src/commands.rs
+++ b/crates/cli/src/commands.rs
@@ -13,7 +13,7 @@
 use micadyke_front::keeping;
 use micadyke_front::list::{Fixed, News, Source, WatchedFile};
 use micadyke_front::shell::{Extras, Questions, Recovers, serve};
-use micadyke_node::shell::Recovers as NodeRecovers;
+use micadyke_node::shell::RecoverySetup as NodeRecoverySetup;
 use micadyke_recovery::record::{Record as Keep, StoredState};
 use micadyke_recovery::store::{Store, StoreError};
 use micadyke_recovery::writer::StoreWriter;
@@ -89,7 +89,7 @@
     let path = PathBuf::from(path);
     let config = micadyke_node::shell::load(&path)?;
     let (name, addr) = (std::env::var("EDGE_NAME").ok(), std::env::var("EDGE_LISTEN").ok());
-    let agreed = config.agrees(name.as_deref(), addr.as_deref());
+    let agreed = config.check_environment(name.as_deref(), addr.as_deref());
     agreed.map_err(|why| Error::Config { path: path.clone(), why })?;
     let (settings, seed) = (config.deployment.settings.clone(), config.seed);
     settings.check().map_err(|why| Error::Settings { path: path.clone(), why })?;
@@ -104,7 +104,7 @@
         neighbours.watches(&mut kept);
         member.iter_mut().for_each(|m| m.starts(start));
         keeper.iter().for_each(|k| neighbours.keeps(k.clone()));
-        NodeRecovers { name, kept, start, keeper }
+        NodeRecoverySetup { name, stored: kept, start, store_writer: keeper }
     });
     run(with_member(member, neighbours, micadyke_node::shell::run(path, config, module, others, back)))???;
     Ok(ExitCode::SUCCESS)
@@ -189,7 +189,7 @@
     let mut member = membership.map(|file| Member::load(file, None)).transpose()?;
     let (mut neighbours, others) = crate::members::others(member.as_ref());
     neighbours.without_directory();
-    let (parts, fleet) = others.map_or((None, None), |o| (o.parts, Some(o.fleet)));
+    let (parts, fleet) = others.map_or((None, None), |o| (o.shares, Some(o.membership)));
     if let Some(r) = &mut recovers {
         member.iter_mut().for_each(|m| m.starts(r.start));
         neighbours.keeps(r.keeper.clone());
--- a/crates/cli/src/desk.rs
+++ b/crates/cli/src/desk.rs
@@ -7,7 +7,7 @@
 };
 use micadyke_membership::frame::{FrameCodec, Head, Kind, MAX_DATAGRAM_BYTES, MAX_PAYLOAD_BYTES};
 use micadyke_membership::{Change, Member, Message, MessageChannel};
-use micadyke_node::shell::{Directed, Index};
+use micadyke_node::shell::{DirectoryLink, Index};
 use serde_json::{Value, json};
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -50,17 +50,17 @@
 }
 
 impl Index for Desk {
-    fn booked(&self, session: &directory::Session, started: bool) {
-        self.feed(if started { Input::Started(session) } else { Input::Ended(session) });
+    fn session_changed(&self, session: &directory::Session, playing: bool) {
+        self.feed(if playing { Input::Started(session) } else { Input::Ended(session) });
     }
 
-    fn left(&self, what: &Key, sessions: u64) {
-        self.feed(Input::Left { what, sessions });
+    fn sessions_left(&self, key: &Key, count: u64) {
+        self.feed(Input::Left { what: key, sessions: count });
     }
 }
 
 /// A desk, the node's way to it, letters that come, and the end of them for membership.
-pub fn open(name: &str, terms: Terms) -> (Rc<Desk>, Directed, mpsc::Receiver<Message>, MessageChannel) {
+pub fn open(name: &str, terms: Terms) -> (Rc<Desk>, DirectoryLink, mpsc::Receiver<Message>, MessageChannel) {
     let (ours, theirs) = MessageChannel::pair();
     let (told, ends) = mpsc::channel(ENDS);
     let settings = directory::Settings {
@@ -82,7 +82,7 @@
         wake: Notify::new(),
         tools: Cell::new(0),
     });
-    let directed = Directed { index: desk.clone(), ends };
+    let directed = DirectoryLink { index: desk.clone(), withdrawals: ends };
     (desk, directed, ours.receive, theirs)
 }
 
--- a/crates/cli/src/error.rs
+++ b/crates/cli/src/error.rs
@@ -52,7 +52,7 @@
     NoConfig,
     /// A configuration that the environment contradicts.
     #[error("{}: {why}", path.display())]
-    Config { path: PathBuf, why: micadyke_node::Fault },
+    Config { path: PathBuf, why: micadyke_node::ConfigError },
     /// Settings of a node that make no sense.
     #[error("{}: settings: {why}", path.display())]
     Settings { path: PathBuf, why: SettingsError },
--- a/crates/cli/src/members.rs
+++ b/crates/cli/src/members.rs
@@ -13,7 +13,7 @@
 use micadyke_membership::{
     Change, MAX_MEMBERS, Member as Known, Message, MessageChannel, Settings, State, shell,
 };
-use micadyke_node::shell::Others;
+use micadyke_node::shell::Peers;
 use micadyke_recovery::phases::{MembershipEvent, Phase};
 use micadyke_recovery::progress::{Progress, ProgressObserver};
 use micadyke_recovery::record::{Record, StoredState as Before};
@@ -147,7 +147,7 @@
 const FACTS: usize = 2 * MAX_MEMBERS;
 
 /// Both sides of what a member and a node tell each other; none where there is no member.
-pub fn others(member: Option<&Member>) -> (Neighbours, Option<Others>) {
+pub fn others(member: Option<&Member>) -> (Neighbours, Option<Peers>) {
     let Some(member) = member else { return (Neighbours::default(), None) };
     let (part, parts) = watch::channel(None);
     let (told, heard) = mpsc::channel(NEWS);
@@ -169,7 +169,17 @@
     };
     let chooses = member.chooses.clone().map(|terms| (member.name().to_owned(), terms));
     let parts = shares.then_some(parts);
-    (neighbours, Some(Others { parts, heard, tell, fleet, directory: directed, chooses }))
+    (
+        neighbours,
+        Some(Peers {
+            shares: parts,
+            reports_in: heard,
+            reports_out: tell,
+            membership: fleet,
+            directory: directed,
+            coordination: chooses,
+        }),
+    )
 }
 
 /// Runs a member beside `work`, where one is to run: it takes its leave when the work is over. Where it cannot listen,
--- a/crates/cli/tests/customers.rs
+++ b/crates/cli/tests/customers.rs
@@ -29,11 +29,11 @@
 const KIND: &str = "Write a value of the named type";
 const CHANGE: &str = "Change one of the two fields";
 const DEPLOY: &str = "Add the field; DEPLOY.md says what it holds.";
-const EXAMPLE: &str = "Write a value of the kind named; DEPLOY.md has an example.";
+const EXAMPLE: &str = "Write a value of the named type; DEPLOY.md has an example.";
 
 /// Missing, of another kind, negative, out of range, contradictory: in the configuration and in the settings.
 const FAULTS: [Fault; 43] = [
-    ("{\"name\"", "[{\"name\"", "not JSON:", "See whether EDGE_CONFIG names the configuration"),
+    ("{\"name\"", "[{\"name\"", "not JSON:", "Check whether EDGE_CONFIG names the configuration"),
     ("\"name\":\"n0\",", "", "name is missing", DEPLOY),
     ("\"name\":\"n0\"", "\"name\":0", "name holds no text", EXAMPLE),
     ("\"listen\"", "\"listens\"", "listen is missing", DEPLOY),
@@ -84,7 +84,7 @@
         "\"batch\":[{\"offset\":1,",
         "\"batch\":[{",
         "known.batch[0].offset holds no number",
-        "See what writes to the bus",
+        "Check what writes to the bus",
     ),
     (
         "\"state\":\"up\"",
--- a/crates/cli/tests/errors.rs
+++ b/crates/cli/tests/errors.rs
@@ -5,7 +5,7 @@
 
 use micadyke::interface::SettingsError;
 use micadyke_config::units::{Unit, quantity};
-use micadyke_node::{Event, Fault};
+use micadyke_node::{ConfigError, EventError};
 use micadyke_recovery::record::DecodeError;
 use std::collections::BTreeSet;
 use std::io::ErrorKind;
@@ -79,12 +79,12 @@
 
 #[test]
 fn events_of_the_bus() {
-    let all = every!(Event;
-        Event::NotJson(_) => Event::NotJson("EOF while parsing a value at line 1 column 0".into()),
-        Event::NoOffset => Event::NoOffset,
-        Event::NoList => Event::NoList,
-        Event::TooMany(_) => Event::TooMany(5000),
-        Event::Server { .. } => Event::Server { at: 3, field: "addr", lacks: "no address and port" },
+    let all = every!(EventError;
+        EventError::NotJson(_) => EventError::NotJson("EOF while parsing a value at line 1 column 0".into()),
+        EventError::NoOffset => EventError::NoOffset,
+        EventError::NoList => EventError::NoList,
+        EventError::TooMany(_) => EventError::TooMany(5000),
+        EventError::Server { .. } => EventError::Server { index: 3, field: "addr", problem: "no address and port" },
     );
     page_says(NODE, "### Events of the bus", all);
 }
@@ -93,24 +93,24 @@
 fn the_configuration_of_a_node_and_its_start() {
     use micadyke_node::Error as E;
     let at = ([10, 0, 0, 4], 2905).into();
-    let mut all = every!(Fault;
-        Fault::NotJson(_) => Fault::NotJson("EOF while parsing a value at line 1 column 0".into()),
-        Fault::Missing(_) => Fault::Missing("bus"),
-        Fault::Kind { .. } => Fault::Kind { field: "limits.sockets", due: "count" },
-        Fault::Address { .. } => Fault::Address { field: "bus", held: "bus-1:9100".into() },
-        Fault::Seed(_) => Fault::Seed("0xff".into()),
-        Fault::FewSockets(_) => Fault::FewSockets(16),
-        Fault::Event { .. } => Fault::Event { at: 2, why: Event::NoOffset },
-        Fault::Past { .. } => Fault::Past { at: 2, offset: 9, last: 8 },
-        Fault::Settings(_) => Fault::Settings(micadyke_settings::Error::LadderLength),
-        Fault::OtherName { .. } => Fault::OtherName { held: "n3".into(), said: "n4".into() },
-        Fault::OtherListen { .. } => Fault::OtherListen { held: at, said: ([10, 0, 0, 5], 2905).into() },
-        Fault::NoListen => Fault::NoListen,
+    let mut all = every!(ConfigError;
+        ConfigError::NotJson(_) => ConfigError::NotJson("EOF while parsing a value at line 1 column 0".into()),
+        ConfigError::Missing(_) => ConfigError::Missing("bus"),
+        ConfigError::WrongType { .. } => ConfigError::WrongType { field: "limits.sockets", expected: "count" },
+        ConfigError::Address { .. } => ConfigError::Address { field: "bus", value: "bus-1:9100".into() },
+        ConfigError::Seed(_) => ConfigError::Seed("0xff".into()),
+        ConfigError::FewSockets(_) => ConfigError::FewSockets(16),
+        ConfigError::Event { .. } => ConfigError::Event { index: 2, why: EventError::NoOffset },
+        ConfigError::OffsetBeyondLast { .. } => ConfigError::OffsetBeyondLast { index: 2, offset: 9, last: 8 },
+        ConfigError::Settings(_) => ConfigError::Settings(micadyke_settings::Error::LadderLength),
+        ConfigError::OtherName { .. } => ConfigError::OtherName { configured: "n3".into(), environment: "n4".into() },
+        ConfigError::OtherListen { .. } => ConfigError::OtherListen { configured: at, environment: ([10, 0, 0, 5], 2905).into() },
+        ConfigError::InvalidListen => ConfigError::InvalidListen,
     );
     all.extend(every!(E;
         E::File { .. } => E::File { path: "config.json".into(), why: no_file() },
         E::TooLong { .. } => E::TooLong { path: "config.json".into(), size: 20_000_000 },
-        E::Refused { .. } => E::Refused { path: "config.json".into(), why: Fault::Missing("bus") },
+        E::Refused { .. } => E::Refused { path: "config.json".into(), why: ConfigError::Missing("bus") },
         E::Listen { .. } => E::Listen { at, why: in_use() },
         E::Signals(_) => E::Signals(std::io::Error::other("too many open files")),
     ));
@@ -175,7 +175,7 @@
         E::BoxNotLoopback { .. } => E::BoxNotLoopback { id: 3, at: ([10, 0, 0, 4], 8080).into() },
         E::NoBoxes => E::NoBoxes,
         E::NoConfig => E::NoConfig,
-        E::Config { .. } => E::Config { path: "config.json".into(), why: Fault::NoListen },
+        E::Config { .. } => E::Config { path: "config.json".into(), why: ConfigError::InvalidListen },
         E::Settings { .. } => {
             E::Settings { path: "config.json".into(), why: SettingsError { field: "ladder", what: "must rise" } }
         },
--- a/crates/cli/tests/member.rs
+++ b/crates/cli/tests/member.rs
@@ -75,7 +75,7 @@
     let told = |text: &str| {
         std::fs::write(&file, text).expect("written");
         let member = Member::load(&file, None).expect("sound");
-        others(Some(&member)).1.and_then(|o| o.chooses).map(|c| c.0)
+        others(Some(&member)).1.and_then(|o| o.coordination).map(|c| c.0)
     };
     assert_eq!(told(membership), None);
     assert_eq!(told(&format!("{membership} (subset (turns))")), Some("n0".into()));
--- a/crates/lab/src/joined.rs
+++ b/crates/lab/src/joined.rs
@@ -8,7 +8,7 @@
 use micadyke::module::Decide;
 use micadyke_isup::{Frame, Message, Parser, code, kind};
 use micadyke_membership::Change;
-use micadyke_node::config::{Config, read};
+use micadyke_node::config::{Config, from_json};
 use micadyke_node::{ConnId, Input, Node, Output};
 use micadyke_recovery::phases::MembershipEvent;
 use micadyke_rtsp::Message as Rtsp;
@@ -235,7 +235,7 @@
         members::name(n),
         rows.join(",")
     );
-    let mut config = read(&text).expect("sound");
+    let mut config = from_json(&text).expect("sound");
     let s = &mut config.deployment.settings;
     (s.fronts, s.cells, s.zone) = (plan.nodes as u32, CELLS as u32, (n % ZONES) as u32);
     (s.link_per_weight, s.streams_by_kind, s.full_from) = (LINK, vec![PLACES as u32], 1.0);
@@ -338,9 +338,9 @@
         let (outside, reach) = (self.outside(n), BTreeMap::new());
         let ear = Ear { inner, outside, told: false, carried, due: 0, reach };
         let mut node = Node::new(&config, ear, self.now);
-        node.has_others();
+        node.enable_peers();
         if self.plan.turns || self.plan.way == Way::Working {
-            node.chooses(&members::name(n), self.terms());
+            node.coordinate(&members::name(n), self.terms());
         }
         let front = Front {
             node,
@@ -351,7 +351,7 @@
             playing: BTreeSet::new(),
         };
         self.fronts.insert(n, front);
-        self.feed(n, Input::ViewerOpened { conn: ConnId(VIEWER) });
+        self.feed(n, Input::ViewerConnected { conn: ConnId(VIEWER) });
     }
 
     fn at(&mut self, at: Nanos, ev: Ev) {
@@ -380,7 +380,7 @@
         let (now, plan) = (self.now, self.plan);
         let Some(front) = self.fronts.get_mut(&n) else { return };
         match output {
-            Output::Tell(news) => self.members.tell(n, &news),
+            Output::NotifyPeers(report) => self.members.tell(n, &report),
             Output::Write { conn, bytes } if conn.0 == VIEWER => self.viewer_reads(n, &bytes),
             Output::Write { conn, bytes } => self.at(now + WAY, Ev::ToServer(n, conn.0, bytes)),
             Output::Close { conn } => {
@@ -400,7 +400,7 @@
                     false => self.at(now + 2 * WAY, Ev::Up(n, conn.0)),
                 }
             }
-            Output::Listen { conn, .. } => {
+            Output::Subscribe { conn, .. } => {
                 front.bus = conn.0;
                 self.at(now + WAY, Ev::Up(n, conn.0));
             }
@@ -468,7 +468,7 @@
             Ev::Wake(n) => {
                 if let Some(front) = self.fronts.get_mut(&n).filter(|f| f.armed <= now) {
                     front.armed = Nanos::MAX;
-                    self.feed(n, Input::Wake);
+                    self.feed(n, Input::Timer);
                 }
             }
             Ev::Serves(server) => {
@@ -488,7 +488,7 @@
                 } else if front.bus != conn {
                     return;
                 }
-                self.feed(n, Input::Up { conn: ConnId(conn) });
+                self.feed(n, Input::Connected { conn: ConnId(conn) });
             }
             Ev::ToNode(n, conn, bytes) => self.feed(n, Input::Data { conn: ConnId(conn), bytes: &bytes }),
             Ev::ToServer(n, conn, bytes) => {
@@ -540,12 +540,12 @@
                 Change::Settled { .. } => MembershipEvent::ViewSettled(true),
                 Change::Unsettled(_) => MembershipEvent::ViewSettled(false),
                 Change::ServerReported { report: news, .. } => {
-                    self.feed(*n, Input::Heard(news));
+                    self.feed(*n, Input::ServerReport(news));
                     continue;
                 }
                 _ => continue,
             };
-            self.feed(*n, Input::Fleet(&facts));
+            self.feed(*n, Input::Membership(&facts));
         }
     }
 
@@ -602,7 +602,7 @@
         let own =
             || (1..=self.plan.servers as u32).filter(|s| !f.node.module().outside.contains(&ServerId(*s)));
         match self.plan.way {
-            Way::Working => f.node.preferred().into_iter().map(|s| s.0).collect(),
+            Way::Working => f.node.preferred_servers().into_iter().map(|s| s.0).collect(),
             _ => own().collect(),
         }
     }
--- a/crates/node/src/advice.rs
+++ b/crates/node/src/advice.rs
@@ -1,50 +1,52 @@
-//! Advice to a crowd while its node comes back: the module knows no server then and refuses each viewer, with the same
-//! advice to all. Told to all at once, they would all come back in the same second.
+//! Spreads the retry delays of refusals during recovery.
+//!
+//! The module has no servers then and refuses every viewer with the same delay, so all of them would retry within the same
+//! second.
 
 use micadyke::interface::{Action, Event, Nanos, Settings};
 use micadyke::module::Decide;
 use micadyke_recovery::record::StoredState;
 use micadyke_recovery::retry_spreader::{RetrySpreader, sustainable_rate};
 
-/// A decision module whose advice is spread until it is told of servers.
+/// A decision module whose retry delays are spread until it receives a list of servers.
 #[derive(Debug)]
-pub struct Advised<D> {
+pub struct SpreadAdvice<D> {
     module: D,
-    spread: Option<RetrySpreader>,
+    spreader: Option<RetrySpreader>,
 }
 
-impl<D> Advised<D> {
-    /// The module as it is; with what was kept its first advice is spread, where clients may be advised at all.
-    pub fn new(module: D, settings: &Settings, kept: Option<&StoredState>) -> Self {
-        let spread = kept.filter(|_| settings.advises_retry).map(|kept| {
-            let servers = kept.list.as_ref().map_or(settings.cells as usize, |l| l.3.len()).max(1);
-            // Which kind each was is not kept: the smallest bears the least.
-            let each = settings.streams_by_kind.iter().min().copied().unwrap_or(1);
-            let part = 1.0 / f64::from(settings.fronts.max(1));
+impl<D> SpreadAdvice<D> {
+    /// Wraps a module. With a stored state and if the settings allow retry delays, they are spread at first.
+    pub fn new(module: D, settings: &Settings, stored: Option<&StoredState>) -> Self {
+        let spreader = stored.filter(|_| settings.advises_retry).map(|stored| {
+            let servers = stored.list.as_ref().map_or(settings.cells as usize, |l| l.3.len()).max(1);
+            // The kinds of the servers are not stored: the smallest capacity is assumed.
+            let min_streams = settings.streams_by_kind.iter().min().copied().unwrap_or(1);
+            let share = 1.0 / f64::from(settings.fronts.max(1));
             let rate = sustainable_rate(
-                servers as f64 * f64::from(each),
+                servers as f64 * f64::from(min_streams),
                 settings.cold_from,
                 settings.cold_for,
-                part,
+                share,
             );
             RetrySpreader::new(rate, settings.max_retry_after)
         });
-        Advised { module, spread }
+        SpreadAdvice { module, spreader }
     }
 }
 
-impl<D: Decide> Decide for Advised<D> {
+impl<D: Decide> Decide for SpreadAdvice<D> {
     fn handle(&mut self, now: Nanos, event: Event, out: &mut Vec<Action>) {
-        // Its first list begins its service.
+        // Service starts with the first list.
         if matches!(event, Event::List { .. }) {
-            self.spread = None;
+            self.spreader = None;
         }
-        let from = out.len();
+        let first = out.len();
         self.module.handle(now, event, out);
-        let Some(spread) = &mut self.spread else { return };
-        for action in &mut out[from..] {
+        let Some(spreader) = &mut self.spreader else { return };
+        for action in &mut out[first..] {
             if let Action::Refuse { retry_after, .. } = action {
-                *retry_after = spread.advise(now);
+                *retry_after = spreader.advise(now);
             }
         }
     }
--- a/crates/node/src/blocked.rs
+++ b/crates/node/src/blocked.rs
@@ -1,23 +1,24 @@
-//! Connections to servers on which the operating system takes no bytes for now. Nothing is begun on them: what is not
-//! yet begun stays here, where it can still be dropped, sent elsewhere or kept from a server that drains.
+//! Connections to servers on which the operating system accepts no more bytes for now.
 //!
-//! The shell tells of it right after the turn that wrote too much ([`crate::Input::Blocked`]), so a set-up that was
-//! written in that turn and not begun is taken back. What the operating system has taken is out: its withdrawal follows
-//! it on the same connection, and where that is not taken either, the connection is closed, which aborts it.
+//! No message is started on a blocked connection: messages are queued here, where they can still be dropped, sent elsewhere
+//! or withheld from a draining server. The shell reports the blocking right after the input whose outputs caused it
+//! ([`crate::Input::Blocked`]), so a set-up of that input that was not started is taken back. A set-up whose bytes were
+//! accepted is in flight: its withdrawal follows on the same connection, and if that is not accepted either, the connection
+//! is closed, which aborts it.
 
-use crate::books::{Due, Link, Node, Stage};
 use crate::io::{ConnId, Output};
 use crate::limits;
+use crate::state::{Link, Node, Stage, TimerKind};
 use micadyke::interface::*;
 use micadyke::module::Decide;
 use micadyke_rtsp::{Message, Start};
 use std::collections::BTreeSet;
 use tracing::debug;
 
-/// What a message to a server is about.
+/// The subject of a message to a server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum About {
-    /// A set-up, worded anew each time that it is written.
+pub(crate) enum Subject {
+    /// A set-up. It is encoded again each time that it is written.
     SetUp(SessionId),
     /// The withdrawal of a set-up that was written on the same connection.
     Withdrawal(SessionId),
@@ -25,117 +26,119 @@
     Other,
 }
 
-/// A message handed over for writing in the turn at hand.
+/// A message written while handling the current input.
 #[derive(Debug)]
-pub(crate) struct Handed {
+pub(crate) struct WrittenMessage {
     conn: ConnId,
-    /// Where it begins among the bytes of its connection.
-    from: u64,
-    about: About,
-    /// None for a set-up.
+    /// Its position in the bytes of its connection.
+    offset: u64,
+    subject: Subject,
+    /// `None` for a set-up.
     message: Option<Message>,
 }
 
 impl Link {
-    /// A message waits until the connection takes bytes again. One too many is dropped: the connection is closed for it.
-    /// Whether it is the first withdrawal that waits.
-    fn wait(&mut self, about: About, message: Message, now: Nanos) -> bool {
+    /// Queues a message until the connection is writable. A message beyond the maximum backlog is dropped, and the
+    /// connection will be closed. Returns whether it is the first queued withdrawal.
+    fn enqueue(&mut self, subject: Subject, message: Message, now: Nanos) -> bool {
         self.backlog += message.encode().len();
-        if self.backlog > limits::servers::BACKLOG {
+        if self.backlog > limits::servers::MAX_BACKLOG_BYTES {
             return false;
         }
-        self.pending.push_back((about, message));
-        let first = matches!(about, About::Withdrawal(_)) && self.withdrawing.is_none();
+        self.queued.push_back((subject, message));
+        let first = matches!(subject, Subject::Withdrawal(_)) && self.withdrawal_since.is_none();
         if first {
-            self.withdrawing = Some(now);
+            self.withdrawal_since = Some(now);
         }
         first
     }
 
-    /// It reads nothing: a withdrawal waits for too long, or too much does.
-    pub(crate) fn stuck(&self, now: Nanos) -> bool {
-        self.backlog > limits::servers::BACKLOG
-            || self.withdrawing.is_some_and(|w| now >= w + limits::servers::WITHDRAWAL)
+    /// Whether a withdrawal has waited for too long or the backlog is too large: the server is not reading.
+    pub(crate) fn is_stuck(&self, now: Nanos) -> bool {
+        self.backlog > limits::servers::MAX_BACKLOG_BYTES
+            || self.withdrawal_since.is_some_and(|w| now >= w + limits::servers::WITHDRAWAL_TIMEOUT)
     }
 
-    /// What it would still have told its server: another connection tells it. A set-up that was withdrawn here may have
-    /// been answered, and play.
-    pub(crate) fn untold(&mut self) -> impl Iterator<Item = Message> + use<> {
+    /// The queued requests, to be sent on another connection. The withdrawal of a set-up is among them, as the set-up may
+    /// have been answered and be playing.
+    pub(crate) fn take_unsent(&mut self) -> impl Iterator<Item = Message> + use<> {
         let requests = |m: &Message| matches!(m.start, Start::Request { .. });
-        let pending = std::mem::take(&mut self.pending).into_iter().map(|(_, message)| message);
-        self.begun.take().into_iter().chain(pending).filter(requests)
+        let pending = std::mem::take(&mut self.queued).into_iter().map(|(_, message)| message);
+        self.partly_sent.take().into_iter().chain(pending).filter(requests)
     }
 }
 
 impl<D: Decide> Node<D> {
-    /// Writes a message to a server; where its connection takes no bytes, it waits.
-    pub(crate) fn write_about(&mut self, conn: ConnId, about: About, message: Message) {
+    /// Writes a message to a server, or queues it if the connection is blocked.
+    pub(crate) fn write_to_server(&mut self, conn: ConnId, subject: Subject, message: Message) {
         let now = self.now;
         let Some(link) = self.links.get_mut(&conn) else { return };
-        link.used = now;
+        link.last_used = now;
         if link.blocked {
-            return self.wait(conn, about, message);
+            return self.enqueue(conn, subject, message);
         }
-        let (from, bytes) = (link.sent, message.encode());
-        link.sent += bytes.len() as u64;
-        let message = Some(message).filter(|_| !matches!(about, About::SetUp(_)));
-        self.handed.push(Handed { conn, from, about, message });
+        let (offset, bytes) = (link.bytes_sent, message.encode());
+        link.bytes_sent += bytes.len() as u64;
+        let message = Some(message).filter(|_| !matches!(subject, Subject::SetUp(_)));
+        self.turn_writes.push(WrittenMessage { conn, offset, subject, message });
         self.out.push(Output::Write { conn, bytes });
     }
 
-    fn wait(&mut self, conn: ConnId, about: About, message: Message) {
+    fn enqueue(&mut self, conn: ConnId, subject: Subject, message: Message) {
         let now = self.now;
-        if self.links.get_mut(&conn).is_some_and(|link| link.wait(about, message, now)) {
-            self.set(now + limits::servers::WITHDRAWAL, Due::Withdrawal(conn));
+        if self.links.get_mut(&conn).is_some_and(|link| link.enqueue(subject, message, now)) {
+            self.set_timer(now + limits::servers::WITHDRAWAL_TIMEOUT, TimerKind::Withdrawal(conn));
         }
     }
 
-    /// A withdrawal may have waited for too long.
-    pub(crate) fn withdrawal_due(&mut self, conn: ConnId) {
-        if self.links.get(&conn).is_some_and(|link| link.stuck(self.now)) {
-            self.drop_link(conn, Outcome::Error);
+    /// Closes a connection if a withdrawal has waited for too long.
+    pub(crate) fn check_withdrawal(&mut self, conn: ConnId) {
+        if self.links.get(&conn).is_some_and(|link| link.is_stuck(self.now)) {
+            self.close_link(conn, Outcome::Error);
         }
     }
 
-    /// The operating system takes no more on a connection: what begins at or after `written` was not begun.
+    /// A connection is blocked: messages that begin at or after byte `written` were not started.
     pub(crate) fn link_blocked(&mut self, conn: ConnId, written: u64) {
         let now = self.now;
-        let handed = std::mem::take(&mut self.handed).into_iter();
-        let (back, rest): (Vec<Handed>, _) = handed.partition(|h| h.conn == conn && h.from >= written);
-        self.handed = rest;
+        let writes = std::mem::take(&mut self.turn_writes).into_iter();
+        let (unsent, rest): (Vec<WrittenMessage>, _) =
+            writes.partition(|h| h.conn == conn && h.offset >= written);
+        self.turn_writes = rest;
         let Some(link) = self.links.get_mut(&conn) else { return };
-        debug!(conn = conn.0, written, back = back.len(), "a connection to a server takes no more for now");
+        debug!(conn = conn.0, written, unsent = unsent.len(), "connection to server is blocked");
         link.blocked = true;
-        link.sent = back.first().map_or(link.sent, |first| first.from);
-        let part = link.sent > written;
-        if let Some(begun) = self.handed.iter_mut().rfind(|h| part && h.conn == conn) {
-            link.begun = begun.message.take();
-            if matches!(begun.about, About::Withdrawal(_)) {
-                link.withdrawing = Some(now);
-                self.set(now + limits::servers::WITHDRAWAL, Due::Withdrawal(conn));
+        link.bytes_sent = unsent.first().map_or(link.bytes_sent, |first| first.offset);
+        let is_partial = link.bytes_sent > written;
+        if let Some(written_message) = self.turn_writes.iter_mut().rfind(|h| is_partial && h.conn == conn) {
+            link.partly_sent = written_message.message.take();
+            if matches!(written_message.subject, Subject::Withdrawal(_)) {
+                link.withdrawal_since = Some(now);
+                self.set_timer(now + limits::servers::WITHDRAWAL_TIMEOUT, TimerKind::Withdrawal(conn));
             }
         }
-        let mut never = BTreeSet::new();
-        for Handed { from, about, message, .. } in back {
-            match about {
-                About::SetUp(id) => {
-                    if !self.taken_back(id, conn, from) {
-                        never.insert(id);
+        let mut withdrawn = BTreeSet::new();
+        for WrittenMessage { offset, subject, message, .. } in unsent {
+            match subject {
+                Subject::SetUp(id) => {
+                    if !self.take_back(id, conn, offset) {
+                        withdrawn.insert(id);
                     }
                 }
-                About::Withdrawal(id) if never.contains(&id) => {}
-                About::Withdrawal(_) | About::Other => {
-                    message.into_iter().for_each(|message| self.wait(conn, about, message));
+                Subject::Withdrawal(id) if withdrawn.contains(&id) => {}
+                Subject::Withdrawal(_) | Subject::Other => {
+                    message.into_iter().for_each(|message| self.enqueue(conn, subject, message));
                 }
             }
         }
     }
 
-    /// Takes back a set-up that was not begun, if its session still wants it: it waits for its connection again.
-    fn taken_back(&mut self, id: SessionId, conn: ConnId, begins: u64) -> bool {
+    /// Takes back a set-up that was not started: it waits for its connection again. Returns false if its session has ended
+    /// the attempt.
+    fn take_back(&mut self, id: SessionId, conn: ConnId, expected_offset: u64) -> bool {
         let Some(session) = self.sessions.get_mut(&id) else { return false };
         match session.stage {
-            Stage::Out { server, link, from, .. } if link == conn && from == begins => {
+            Stage::InFlight { server, link, offset, .. } if link == conn && offset == expected_offset => {
                 session.stage = Stage::Waiting { server, link };
                 self.counts.attempts -= 1;
                 true
@@ -144,12 +147,12 @@
         }
     }
 
-    /// A connection takes bytes again: what waits for it goes out, as far as it is still wanted.
+    /// A connection is writable again: queued messages and waiting attempts are written.
     pub(crate) fn link_writable(&mut self, conn: ConnId) {
         let Some(link) = self.links.get_mut(&conn) else { return };
-        (link.blocked, link.backlog, link.withdrawing, link.begun) = (false, 0, None, None);
-        let (pending, waiting) = (std::mem::take(&mut link.pending), link.open.clone());
-        pending.into_iter().for_each(|(about, message)| self.write_about(conn, about, message));
-        waiting.into_iter().for_each(|s| self.write_set_up(s));
+        (link.blocked, link.backlog, link.withdrawal_since, link.partly_sent) = (false, 0, None, None);
+        let (pending, attempts) = (std::mem::take(&mut link.queued), link.open.clone());
+        pending.into_iter().for_each(|(subject, message)| self.write_to_server(conn, subject, message));
+        attempts.into_iter().for_each(|s| self.write_setup(s));
     }
 }
--- a/crates/node/src/config.rs
+++ b/crates/node/src/config.rs
@@ -1,97 +1,97 @@
-//! The configuration that the platform hands a front node (`DEPLOY.md`): JSON in the file that `EDGE_CONFIG` names.
+//! The configuration of a front node (`DEPLOY.md`): JSON in the file named by `EDGE_CONFIG`.
 
-use crate::error::Fault;
-use crate::list::{Change, change};
-use micadyke_settings::{Deployment, from_json};
+use crate::error::ConfigError;
+use crate::list::{ListChange, parse_change};
+use micadyke_settings::{Deployment, from_json as deployment_from_json};
 use serde_json::Value;
 use std::net::SocketAddr;
 
-/// Bytes of the configuration at most.
-pub const LONGEST: u64 = 16 << 20;
-/// Descriptors under which a node can't serve: its own, the bus, a few servers and viewers.
-pub(crate) const FEWEST_SOCKETS: u64 = 64;
+/// Maximum size of the configuration, in bytes.
+pub const MAX_CONFIG_BYTES: u64 = 16 << 20;
+/// Minimum number of descriptors: those of the process itself, the bus, and a few servers and viewers.
+pub(crate) const MIN_SOCKETS: u64 = 64;
 
-/// What a front node is told at its start.
+/// The configuration of a front node.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Config {
-    /// Its name.
+    /// The node's name.
     pub name: String,
-    /// Where viewers connect.
+    /// The address on which viewers connect.
     pub listen: SocketAddr,
-    /// Seed of its random numbers.
+    /// Seed of the random numbers.
     pub seed: u64,
-    /// Descriptors that it may hold.
+    /// Maximum number of descriptors.
     pub sockets: usize,
-    /// The event bus.
+    /// The address of the event bus.
     pub bus: SocketAddr,
-    /// The events so far, in order.
-    pub known: Vec<Change>,
-    /// The number of the last event that `known` stands for.
+    /// The known events, in order.
+    pub known: Vec<ListChange>,
+    /// The number of the last known event.
     pub offset: u64,
     /// The settings of the deployment.
     pub deployment: Deployment,
 }
 
-/// The field under a path, which is there; what should hold it is an object.
-fn field<'v>(v: &'v Value, path: &'static str) -> Result<&'v Value, Fault> {
+/// The field at a path, which must exist.
+fn field<'v>(v: &'v Value, path: &'static str) -> Result<&'v Value, ConfigError> {
     let (mut found, mut end) = (v, 0);
     for key in path.split('.') {
         if !(found.is_object() || found.is_null()) {
-            return Err(Fault::Kind { field: &path[..end], due: "object" });
+            return Err(ConfigError::WrongType { field: &path[..end], expected: "object" });
         }
         found = &found[key];
         end += key.len() + usize::from(end > 0);
     }
-    if found.is_null() { Err(Fault::Missing(path)) } else { Ok(found) }
+    if found.is_null() { Err(ConfigError::Missing(path)) } else { Ok(found) }
 }
 
-fn text<'v>(v: &'v Value, path: &'static str) -> Result<&'v str, Fault> {
-    field(v, path)?.as_str().ok_or(Fault::Kind { field: path, due: "text" })
+fn text<'v>(v: &'v Value, path: &'static str) -> Result<&'v str, ConfigError> {
+    field(v, path)?.as_str().ok_or(ConfigError::WrongType { field: path, expected: "text" })
 }
 
-fn count(v: &Value, path: &'static str) -> Result<u64, Fault> {
-    field(v, path)?.as_u64().ok_or(Fault::Kind { field: path, due: "count" })
+fn count(v: &Value, path: &'static str) -> Result<u64, ConfigError> {
+    field(v, path)?.as_u64().ok_or(ConfigError::WrongType { field: path, expected: "count" })
 }
 
-fn address(v: &Value, path: &'static str) -> Result<SocketAddr, Fault> {
+fn address(v: &Value, path: &'static str) -> Result<SocketAddr, ConfigError> {
     let t = text(v, path)?;
-    t.parse().map_err(|_| Fault::Address { field: path, held: t.into() })
+    t.parse().map_err(|_| ConfigError::Address { field: path, value: t.into() })
 }
 
-/// Reads the configuration.
+/// Parses the configuration.
 ///
 /// # Errors
 ///
-/// Which field is wrong, and how.
-pub fn read(json: &str) -> Result<Config, Fault> {
-    let v: Value = serde_json::from_str(json).map_err(|e| Fault::NotJson(e.to_string()))?;
+/// The first invalid field.
+pub fn from_json(json: &str) -> Result<Config, ConfigError> {
+    let v: Value = serde_json::from_str(json).map_err(|e| ConfigError::NotJson(e.to_string()))?;
     if !v.is_object() {
-        return Err(Fault::Kind { field: "the configuration", due: "object" });
+        return Err(ConfigError::WrongType { field: "the configuration", expected: "object" });
     }
     let digits = text(&v, "seed")?;
     let seed = u64::from_str_radix(digits, 16).ok().filter(|_| !digits.starts_with('+'));
-    let seed = seed.ok_or_else(|| Fault::Seed(digits.into()))?;
+    let seed = seed.ok_or_else(|| ConfigError::Seed(digits.into()))?;
     let sockets = count(&v, "limits.sockets")?;
-    if sockets < FEWEST_SOCKETS {
-        return Err(Fault::FewSockets(sockets));
+    if sockets < MIN_SOCKETS {
+        return Err(ConfigError::FewSockets(sockets));
     }
     let (mut known, mut offset) = (Vec::new(), 0);
     if !v["known"].is_null() {
         offset = count(&v, "known.offset")?;
         let batch = field(&v, "known.batch")?.as_array();
-        let batch = batch.ok_or(Fault::Kind { field: "known.batch", due: "list" })?;
+        let batch = batch.ok_or(ConfigError::WrongType { field: "known.batch", expected: "list" })?;
         for (i, event) in batch.iter().enumerate() {
-            let change = change(event).map_err(|why| Fault::Event { at: i, why })?;
+            let change = parse_change(event).map_err(|why| ConfigError::Event { index: i, why })?;
             if change.offset > offset {
-                return Err(Fault::Past { at: i, offset: change.offset, last: offset });
+                return Err(ConfigError::OffsetBeyondLast { index: i, offset: change.offset, last: offset });
             }
             known.push(change);
         }
     }
     let bus = address(&v, "bus")?;
     if bus.port() == 0 {
-        // Nothing can be called there. A listener takes any port for it, as tests have it.
-        return Err(Fault::Address { field: "bus", held: bus.to_string() });
+        // No connection can be made to port 0. (For `listen` it stands for any free port, as used by tests.)
+        return Err(ConfigError::Address { field: "bus", value: bus.to_string() });
     }
     Ok(Config {
         name: text(&v, "name")?.to_owned(),
@@ -101,25 +101,25 @@
         bus,
         known,
         offset,
-        deployment: from_json(field(&v, "settings")?)?,
+        deployment: deployment_from_json(field(&v, "settings")?)?,
     })
 }
 
 impl Config {
-    /// Checks the configuration against what the environment says of the same things.
+    /// Checks name and address against those in the environment.
     ///
     /// # Errors
     ///
-    /// Which of both differs.
-    pub fn agrees(&self, name: Option<&str>, listen: Option<&str>) -> Result<(), Fault> {
+    /// The value that differs.
+    pub fn check_environment(&self, name: Option<&str>, listen: Option<&str>) -> Result<(), ConfigError> {
         if let Some(n) = name.filter(|n| *n != self.name) {
-            return Err(Fault::OtherName { held: self.name.clone(), said: n.into() });
+            return Err(ConfigError::OtherName { configured: self.name.clone(), environment: n.into() });
         }
         match listen.map(str::parse::<SocketAddr>) {
             Some(Ok(a)) if a == self.listen => Ok(()),
             None => Ok(()),
-            Some(Ok(a)) => Err(Fault::OtherListen { held: self.listen, said: a }),
-            Some(Err(_)) => Err(Fault::NoListen),
+            Some(Ok(a)) => Err(ConfigError::OtherListen { configured: self.listen, environment: a }),
+            Some(Err(_)) => Err(ConfigError::InvalidListen),
         }
     }
 }
--- a/crates/node/src/error.rs
+++ b/crates/node/src/error.rs
@@ -1,38 +1,38 @@
-//! Why a node does not start or an event is not read, and what can be done about it.
+//! Errors of configuration, start and events, with advice for operators.
 
-use crate::config::{FEWEST_SOCKETS, LONGEST};
-use crate::list::MOST_SERVERS;
+use crate::config::{MAX_CONFIG_BYTES, MIN_SOCKETS};
+use crate::list::MAX_SERVERS_PER_EVENT;
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// Why an event of the bus is not read; the field is named as the platform writes it.
+/// Why an event of the bus is rejected. Fields are named as in the event.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
-pub enum Event {
-    /// The text is no JSON.
+pub enum EventError {
+    /// The text is not JSON.
     #[error("{0}")]
     NotJson(String),
-    /// It has no number.
+    /// The event has no number.
     #[error("offset holds no number")]
     NoOffset,
-    /// It names no servers.
+    /// The event has no list of servers.
     #[error("topology.servers holds no list")]
     NoList,
-    /// More servers than are taken of one event.
-    #[error("topology.servers holds {0} servers; {MOST_SERVERS} at most")]
+    /// The event has too many servers.
+    #[error("topology.servers holds {0} servers; {MAX_SERVERS_PER_EVENT} at most")]
     TooMany(usize),
-    /// A server that can't be read.
-    #[error("topology.servers[{at}].{field} holds {lacks}")]
+    /// A server is invalid.
+    #[error("topology.servers[{index}].{field} holds {problem}")]
     Server {
-        /// Its place in the list.
-        at: usize,
+        /// Its index in the list.
+        index: usize,
         /// The field.
         field: &'static str,
-        /// What the field should hold and does not.
-        lacks: &'static str,
+        /// What is wrong with the field.
+        problem: &'static str,
     },
 }
 
-impl Event {
+impl EventError {
     /// What an operator can do.
     ///
     /// ```
@@ -41,93 +41,95 @@
     /// ```
     pub fn advice(&self) -> &'static str {
         match self {
-            Event::NotJson(_) => "See what writes to the bus: each event is one JSON object.",
-            Event::NoOffset => "See what writes to the bus: each event has its number, from 1 on.",
-            Event::NoList => {
-                "See what writes to the bus: an event of the list has its servers in a list, empty or not."
+            EventError::NotJson(_) => "Check what writes to the bus: each event is one JSON object.",
+            EventError::NoOffset => "Check what writes to the bus: each event has its number, from 1 on.",
+            EventError::NoList => {
+                "Check what writes to the bus: an event of the list has its servers in a list, empty or not."
             }
-            Event::TooMany(_) => "See what lists so many servers; an event names those of one deployment.",
-            Event::Server { .. } => {
-                "Correct that server where the list is written; its whole event is passed over with it."
+            EventError::TooMany(_) => {
+                "Check what lists so many servers; an event contains those of one deployment."
+            }
+            EventError::Server { .. } => {
+                "Correct that server where the list is written; the whole event is ignored because of it."
             }
         }
     }
 }
 
-/// Why a configuration is refused; the field is named.
+/// Why a configuration is rejected.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
-pub enum Fault {
-    /// The text is no JSON.
+pub enum ConfigError {
+    /// The text is not JSON.
     #[error("not JSON: {0}")]
     NotJson(String),
-    /// A field that is due.
+    /// A required field is missing.
     #[error("{0} is missing")]
     Missing(&'static str),
-    /// A value of another kind than is due.
-    #[error("{field} holds no {due}")]
-    Kind {
+    /// A value has the wrong type.
+    #[error("{field} holds no {expected}")]
+    WrongType {
         /// The field.
         field: &'static str,
-        /// What is due.
-        due: &'static str,
+        /// The expected type.
+        expected: &'static str,
     },
-    /// A text that is no address.
-    #[error("{field} holds '{held}', not an address and port")]
+    /// A text is not an address.
+    #[error("{field} holds '{value}', not an address and port")]
     Address {
         /// The field.
         field: &'static str,
         /// The text.
-        held: String,
+        value: String,
     },
-    /// A seed that is none.
+    /// The seed is invalid.
     #[error("seed holds '{0}', not 16 hex digits")]
     Seed(String),
-    /// Fewer descriptors than a node can serve with.
-    #[error("limits.sockets holds {0}; a node needs {FEWEST_SOCKETS}")]
+    /// Too few descriptors.
+    #[error("limits.sockets holds {0}; a node needs {MIN_SOCKETS}")]
     FewSockets(u64),
-    /// An event that can't be read.
-    #[error("known.batch[{at}].{why}")]
+    /// An event is invalid.
+    #[error("known.batch[{index}].{why}")]
     Event {
-        /// Its place in the batch.
-        at: usize,
+        /// Its index in the batch.
+        index: usize,
         /// What is wrong with it.
-        why: Event,
+        why: EventError,
     },
-    /// An event that the batch can't hold.
-    #[error("known.batch[{at}].offset holds {offset}, past known.offset, which holds {last}")]
-    Past {
-        /// Its place in the batch.
-        at: usize,
+    /// An event has a higher number than the last of the batch.
+    #[error("known.batch[{index}].offset holds {offset}, past known.offset, which holds {last}")]
+    OffsetBeyondLast {
+        /// Its index in the batch.
+        index: usize,
         /// Its number.
         offset: u64,
-        /// The last that the batch stands for.
+        /// The last number of the batch.
         last: u64,
     },
-    /// The settings of the deployment.
+    /// The settings of the deployment are invalid.
     #[error(transparent)]
     Settings(#[from] micadyke_settings::Error),
-    /// The environment gives another name.
-    #[error("name holds '{held}', but EDGE_NAME says '{said}'")]
+    /// The environment contains another name.
+    #[error("name holds '{configured}', but EDGE_NAME says '{environment}'")]
     OtherName {
-        /// The configuration's.
-        held: String,
-        /// The environment's.
-        said: String,
+        /// The value in the configuration.
+        configured: String,
+        /// The value in the environment.
+        environment: String,
     },
-    /// The environment gives another address.
-    #[error("listen holds {held}, but EDGE_LISTEN says {said}")]
+    /// The environment contains another address.
+    #[error("listen holds {configured}, but EDGE_LISTEN says {environment}")]
     OtherListen {
-        /// The configuration's.
-        held: SocketAddr,
-        /// The environment's.
-        said: SocketAddr,
+        /// The value in the configuration.
+        configured: SocketAddr,
+        /// The value in the environment.
+        environment: SocketAddr,
     },
-    /// What the environment gives is no address.
+    /// The address in the environment is invalid.
     #[error("EDGE_LISTEN is not an address and port")]
-    NoListen,
+    InvalidListen,
 }
 
-impl Fault {
+impl ConfigError {
     /// What an operator can do.
     ///
     /// ```
@@ -136,28 +138,32 @@
     /// ```
     pub fn advice(&self) -> &'static str {
         match self {
-            Fault::NotJson(_) => {
-                "See whether EDGE_CONFIG names the configuration, and whether that was written whole."
+            ConfigError::NotJson(_) => {
+                "Check whether EDGE_CONFIG names the configuration and whether the file is complete."
             }
-            Fault::Missing(_) => "Add the field; DEPLOY.md says what it holds.",
-            Fault::Kind { .. } => "Write a value of the kind named; DEPLOY.md has an example.",
-            Fault::Address { .. } => {
+            ConfigError::Missing(_) => "Add the field; DEPLOY.md says what it holds.",
+            ConfigError::WrongType { .. } => "Write a value of the named type; DEPLOY.md has an example.",
+            ConfigError::Address { .. } => {
                 "Write a numeric address and a port, as in 10.0.0.4:2905; names are not looked up."
             }
-            Fault::Seed(_) => "Write the seed as hex digits alone, without 0x.",
-            Fault::FewSockets(_) => {
+            ConfigError::Seed(_) => "Write the seed as hex digits alone, without 0x.",
+            ConfigError::FewSockets(_) => {
                 "Give the node more descriptors (limits.sockets, and ulimit -n); 256 are enough."
             }
-            Fault::Event { why, .. } => why.advice(),
-            Fault::Past { .. } => {
-                "Write known anew: its offset is the number of the last event that its batch stands for."
+            ConfigError::Event { why, .. } => why.advice(),
+            ConfigError::OffsetBeyondLast { .. } => {
+                "Correct known: its offset is the number of the last event that its batch covers."
+            }
+            ConfigError::Settings(e) => e.advice(),
+            ConfigError::OtherName { .. } => {
+                "Give the node its own file, or make EDGE_NAME and name the same."
+            }
+            ConfigError::OtherListen { .. } => {
+                "Give the node its own file, or make EDGE_LISTEN and listen the same."
             }
-            Fault::Settings(e) => e.advice(),
-            Fault::OtherName { .. } => "Hand the node its own file, or make EDGE_NAME and name the same.",
-            Fault::OtherListen { .. } => {
-                "Hand the node its own file, or make EDGE_LISTEN and listen the same."
+            ConfigError::InvalidListen => {
+                "Set EDGE_LISTEN to a numeric address and a port, or leave it unset."
             }
-            Fault::NoListen => "Set EDGE_LISTEN to a numeric address and a port, or leave it unset.",
         }
     }
 }
@@ -165,39 +171,39 @@
 /// Why a node does not start.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
-    /// The configuration's file can't be had.
+    /// The file of the configuration can't be read.
     #[error("{}: {why}", path.display())]
     File {
         /// The file.
         path: PathBuf,
-        /// The system's word.
+        /// The error of the operating system.
         why: std::io::Error,
     },
     /// The configuration is too long.
-    #[error("{}: {size} bytes; {LONGEST} at most", path.display())]
+    #[error("{}: {size} bytes; {MAX_CONFIG_BYTES} at most", path.display())]
     TooLong {
         /// The file.
         path: PathBuf,
-        /// Its bytes.
+        /// Its size in bytes.
         size: u64,
     },
-    /// The configuration is refused.
+    /// The configuration is invalid.
     #[error("{}: {why}", path.display())]
     Refused {
         /// The file.
         path: PathBuf,
         /// Why.
-        why: Fault,
+        why: ConfigError,
     },
-    /// The address is not to be had.
+    /// Listening on the address failed.
     #[error("cannot listen on {at}: {why}")]
     Listen {
-        /// What the configuration says.
+        /// The configured address.
         at: SocketAddr,
-        /// The system's word.
+        /// The error of the operating system.
         why: std::io::Error,
     },
-    /// Signals can't be heard.
+    /// Signal handlers can't be installed.
     #[error("no signals: {0}")]
     Signals(std::io::Error),
 }
@@ -211,13 +217,13 @@
     /// ```
     pub fn advice(&self) -> &'static str {
         match self {
-            Error::File { .. } => "See whether EDGE_CONFIG names a file that this process may read.",
-            Error::TooLong { .. } => "See what wrote the file: nothing that a node is told takes so much.",
+            Error::File { .. } => "Check whether EDGE_CONFIG names a file that this process may read.",
+            Error::TooLong { .. } => "Check what wrote the file: a configuration is never that large.",
             Error::Refused { why, .. } => why.advice(),
             Error::Listen { .. } => {
-                "See whether 'listen' names an address of this machine, and which process holds the port (ss -tlnp)."
+                "Check whether 'listen' is an address of this machine, and which process uses the port (ss -tlnp)."
             }
-            Error::Signals(_) => "See how many descriptors this process may hold (ulimit -n).",
+            Error::Signals(_) => "Check how many descriptors this process may open (ulimit -n).",
         }
     }
 }
--- a/crates/node/src/io.rs
+++ b/crates/node/src/io.rs
@@ -1,4 +1,4 @@
-//! What goes into the core and what comes out of it.
+//! Inputs and outputs of the core.
 
 use micadyke::interface::Nanos;
 use micadyke_directory::{Key, Session};
@@ -7,135 +7,135 @@
 use micadyke_recovery::record::Record;
 use std::net::SocketAddr;
 
-/// A connection; never used twice. The shell numbers those of viewers, the core all others, so that one side's numbers
-/// are odd and the other's even.
+/// The id of a connection, never reused. The shell assigns odd numbers to viewers' connections, the core even ones to
+/// others.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ConnId(pub u64);
 
-/// Something that happened.
+/// An input of the core.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Input<'a> {
-    /// The part of each server's cold budget that is this node's: see [`micadyke::interface::Event::ColdBudgetShare`].
-    Part {
-        /// Always.
-        always: f64,
-        /// Beyond that, for `span` from now.
+    /// This node's share of each server's cold budget: see [`micadyke::interface::Event::ColdBudgetShare`].
+    ColdBudgetShare {
+        /// The share that is always available.
+        guaranteed: f64,
+        /// The additional leased share.
         leased: f64,
-        /// How long.
-        span: Nanos,
+        /// Remaining time of the lease.
+        lease_duration: Nanos,
     },
-    /// Another node tells of a server: see [`Output::Tell`].
-    Heard(&'a ServerReport),
-    /// The view of the fleet tells this.
-    Fleet(&'a MembershipEvent),
-    /// Sessions of this title or viewer are withdrawn: they end. Answered by [`Output::Left`].
-    End(&'a Key),
+    /// Another node reports about a server: see [`Output::NotifyPeers`].
+    ServerReport(&'a ServerReport),
+    /// The membership has changed.
+    Membership(&'a MembershipEvent),
+    /// The sessions of this title or viewer have to end. Answered by [`Output::SessionsLeft`].
+    EndSessions(&'a Key),
     /// A viewer connected.
-    ViewerOpened {
-        /// Its connection.
+    ViewerConnected {
+        /// The connection.
         conn: ConnId,
     },
-    /// Bytes came on a connection of any kind.
+    /// Bytes were received on a connection of any kind.
     Data {
         /// The connection.
         conn: ConnId,
         /// The bytes.
         bytes: &'a [u8],
     },
-    /// A connection that the core asked for is up; for the event bus: its stream is open.
-    Up {
+    /// A connection that the core requested is established; for the event bus, its stream is open.
+    Connected {
         /// The connection.
         conn: ConnId,
     },
-    /// A connection is over, or did not come up.
+    /// A connection was closed or could not be established.
     Closed {
         /// The connection.
         conn: ConnId,
-        /// Bytes of it that the operating system had taken.
+        /// Bytes that the operating system had accepted for writing.
         written: u64,
-        /// It was refused: nothing listens there.
+        /// The connection was refused: nothing listens there.
         refused: bool,
     },
-    /// The operating system takes no more on a connection to a server for now. Of the messages written to it, those that
-    /// begin at or after `written` were dropped; the rest of one that began before goes out by itself. This input comes
-    /// right after the turn that wrote them, ahead of any other.
+    /// The operating system accepts no more bytes on a connection to a server for now. Messages that begin at or after byte
+    /// `written` were dropped; the shell writes the rest of one that began before. This input directly follows the one whose
+    /// outputs wrote the messages.
     Blocked {
         /// The connection.
         conn: ConnId,
-        /// Bytes of it that the operating system has taken.
+        /// Bytes that the operating system has accepted.
         written: u64,
     },
-    /// A connection that was blocked takes bytes again, and nothing of what was written to it is left.
+    /// A blocked connection is writable again, and all that was written to it has been sent.
     Writable {
         /// The connection.
         conn: ConnId,
     },
-    /// The configuration names another address of the event bus.
+    /// The configuration contains a new address of the event bus.
     BusMoved {
         /// The address.
         addr: SocketAddr,
     },
-    /// The node is to end once it owes nothing.
+    /// The node has to end once all requests are answered.
     Stop,
-    /// Time went by.
-    Wake,
+    /// The time of [`crate::Node::wake_at`] was reached.
+    Timer,
 }
 
-/// Something to be done.
+/// An output of the core.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Output {
-    /// The other nodes should hear this; only where the node was told that there are others ([`crate::Node::has_others`]).
-    Tell(ServerReport),
-    /// A session stands in the book, or does so no longer; only where there is a directory ([`crate::Node::has_directory`]).
-    Booked {
-        /// The session, as the directory knows it.
+    /// Send this report to the other nodes; only after [`crate::Node::enable_peers`].
+    NotifyPeers(ServerReport),
+    /// A session started or ended; only after [`crate::Node::enable_directory`].
+    IndexSession {
+        /// Its entry in the directory.
         session: Session,
-        /// It stands.
-        started: bool,
+        /// Whether it started.
+        playing: bool,
     },
-    /// So many sessions of this title or viewer are left: set-ups that are open, and ends that no server has confirmed.
-    Left {
+    /// The number of remaining sessions of a title or viewer: open set-ups, and ends that no server has confirmed.
+    SessionsLeft {
         /// The title or viewer.
-        what: Key,
-        /// How many.
-        sessions: u64,
+        key: Key,
+        /// The number of sessions.
+        count: u64,
     },
-    /// This is to be kept for the next start; only where there is a store ([`crate::Node::recovers`]).
-    Keep(Record),
-    /// Write to a connection; to that of a server one whole message.
+    /// Save this record for the next start; only after [`crate::Node::start_recovery`].
+    Save(Record),
+    /// Write to a connection; to a server always one whole message.
     Write {
         /// The connection.
         conn: ConnId,
         /// The bytes.
         bytes: Vec<u8>,
     },
-    /// Close a connection once what was written to it is out; nothing is heard of it any more. That of a server which is
-    /// blocked is aborted: a set-up of which a part was taken must not be completed.
+    /// Close a connection after all written bytes have been sent; no more inputs follow for it. A blocked connection to a
+    /// server is aborted instead, as a partly sent set-up must not be completed.
     Close {
         /// The connection.
         conn: ConnId,
     },
     /// Open a connection to a server.
     Connect {
-        /// Its number.
+        /// The id of the new connection.
         conn: ConnId,
-        /// Where to.
+        /// The server's address.
         addr: SocketAddr,
     },
-    /// Open a stream of the event bus: its content is handed in as [`Input::Data`].
-    Listen {
-        /// Its number.
+    /// Open a stream of the event bus; its content is passed in as [`Input::Data`].
+    Subscribe {
+        /// The id of the new connection.
         conn: ConnId,
-        /// Where to.
+        /// The address of the bus.
         addr: SocketAddr,
-        /// The last event that is held.
+        /// The number of the last applied event.
         last: u64,
     },
-    /// Read nothing from a connection for so long.
-    Pause {
+    /// Do not read from a connection for some time.
+    PauseReading {
         /// The connection.
         conn: ConnId,
-        /// How long.
-        span: Nanos,
+        /// Length of the pause.
+        duration: Nanos,
     },
 }
--- a/crates/node/src/limits.rs
+++ b/crates/node/src/limits.rs
@@ -1,5 +1,6 @@
-//! Timeouts and limits of a front node beyond the module's decisions, by subject. Free of I/O; each constant is a choice
-//! with its reason. Where a session goes, whether it is taken and at which rung are the module's, never chosen here.
+//! Timeouts and limits of a front node, grouped by peer. No I/O.
+//!
+//! Placement, admission and rungs of sessions are decisions of the module and are not made here.
 
 use micadyke::interface::Nanos;
 
@@ -8,18 +9,18 @@
 pub mod servers;
 pub mod viewers;
 
-/// A millisecond.
+/// One millisecond, in nanoseconds.
 pub const MS: Nanos = 1_000_000;
-/// A second.
+/// One second, in nanoseconds.
 pub const SECOND: Nanos = 1_000 * MS;
 
-/// Connections of viewers at most, as a part of the descriptors: usual viewers hold a third at most.
-const VIEWERS_PART: f64 = 0.5;
-/// Descriptors kept for the program itself, the listener and the bus.
+/// Share of the descriptors that viewers' connections may use. Well-behaved viewers need a third.
+const VIEWER_SHARE: f64 = 0.5;
+/// Descriptors reserved for the program itself, the listener and the event bus.
 pub const OWN_DESCRIPTORS: usize = 24;
 
-/// Connections of viewers and of servers that a node with so many descriptors holds at most.
-pub fn shares(descriptors: usize) -> (usize, usize) {
-    let viewers = (descriptors as f64 * VIEWERS_PART) as usize;
+/// The maximum numbers of viewer connections and of server connections for a number of descriptors.
+pub fn connection_limits(descriptors: usize) -> (usize, usize) {
+    let viewers = (descriptors as f64 * VIEWER_SHARE) as usize;
     (viewers, descriptors.saturating_sub(viewers + OWN_DESCRIPTORS).max(8))
 }
--- a/crates/node/src/limits/bus.rs
+++ b/crates/node/src/limits/bus.rs
@@ -1,43 +1,42 @@
-//! Timeouts of calls to the event bus, and pauses between them.
+//! Timeouts of connections to the event bus and pauses between them.
 
 use super::{MS, SECOND};
 use micadyke::interface::Nanos;
 
-/// The bus comments each second: two missed and a half mean that it has stopped, and what it tells counts as told 4 s
-/// after that unless the node asks again.
-pub const SILENCE: Nanos = 2_500 * MS;
-/// A call of the bus whose stream is not open by then is made again: the silence and one call that hangs come to
-/// 3.5 s, so that a second call is out before what the bus tells counts as told.
-const CALL: Nanos = SECOND;
-/// Longest such time: it doubles with each call in a row that hangs, for a bus that is merely slow to answer.
-pub const LONGEST_CALL: Nanos = 8 * SECOND;
-/// A stream that was open for so long was a sound one, also if it told nothing: asked for again at once.
-pub const STEADY: Nanos = SECOND;
-/// Pause after the first failed call of the bus.
-const FIRST_PAUSE: Nanos = 50 * MS;
-/// Longest pause, also where the settings allow more or say nothing: well within the time after which a listing
-/// counts as told.
-const LONGEST_PAUSE: Nanos = 500 * MS;
+/// A stream without data for this long is reconnected. The bus sends a comment each second; 4 s after it stops, its events
+/// count as delivered unless the node reconnects.
+pub const SILENCE_TIMEOUT: Nanos = 2_500 * MS;
+/// Timeout for opening the stream. Together with the silence timeout, one hanging call takes 3.5 s, so a second call is
+/// made before the events of the bus count as delivered.
+const CALL_TIMEOUT: Nanos = SECOND;
+/// Upper bound of the timeout, which doubles with each consecutive hanging call to allow for a slow bus.
+pub const MAX_CALL_TIMEOUT: Nanos = 8 * SECOND;
+/// A stream that was open for this long was working even without events, and is reopened without a pause.
+pub const STABLE_AFTER: Nanos = SECOND;
+/// Pause after the first failed call.
+const MIN_RETRY_PAUSE: Nanos = 50 * MS;
+/// Upper bound of the pause, whatever the settings allow: well within the time after which an event counts as delivered.
+const MAX_RETRY_PAUSE: Nanos = 500 * MS;
 
-/// The bus tells what was missed with the opening of its stream: nothing by then, and the list held is its own word.
-pub const CAUGHT_UP: Nanos = 100 * MS;
+/// The bus sends missed events when its stream opens. If none has come within this time, the current list is up to date.
+pub const CATCH_UP_TIME: Nanos = 100 * MS;
 
-/// How long a call of the bus may take to open its stream, after `hung` in a row that did not.
-pub fn call_timeout(hung: u32) -> Nanos {
-    (CALL << hung.min(8)).min(LONGEST_CALL)
+/// The timeout for opening the stream after `hung_calls` consecutive calls that did not open it.
+pub fn call_timeout(hung_calls: u32) -> Nanos {
+    (CALL_TIMEOUT << hung_calls.min(8)).min(MAX_CALL_TIMEOUT)
 }
 
-/// The longest pause between calls of the bus: half of the drain grace, so that a drain which was told while the
-/// bus was out of reach is heard within its grace once the bus is back. `grace` 0: the settings state none.
-pub fn longest_pause(grace: Nanos) -> Nanos {
-    if grace == 0 { LONGEST_PAUSE } else { (grace / 2).clamp(FIRST_PAUSE / 2, LONGEST_PAUSE) }
+/// The maximum pause between calls: half of the drain grace, so that a drain announced while the bus was unreachable is
+/// received within its grace once the bus is back. `grace` 0 means that the settings state none.
+pub fn max_retry_pause(grace: Nanos) -> Nanos {
+    if grace == 0 { MAX_RETRY_PAUSE } else { (grace / 2).clamp(MIN_RETRY_PAUSE / 2, MAX_RETRY_PAUSE) }
 }
 
-/// How long to wait after `failed` calls in a row, `most` at most; `lot` from 0 to 1 keeps the fronts apart.
-pub fn pause(failed: u32, most: Nanos, lot: f64) -> Nanos {
-    if failed == 0 {
+/// The pause after `failed_calls` consecutive failures, at most `max_pause`. `jitter` from 0 to 1 spreads the fronts' calls.
+pub fn retry_pause(failed_calls: u32, max_pause: Nanos, jitter: f64) -> Nanos {
+    if failed_calls == 0 {
         return 0;
     }
-    let span = (FIRST_PAUSE << (failed - 1).min(8)).min(most);
-    (span as f64 * (0.5 + 0.5 * lot.clamp(0.0, 1.0))) as Nanos
+    let span = (MIN_RETRY_PAUSE << (failed_calls - 1).min(8)).min(max_pause);
+    (span as f64 * (0.5 + 0.5 * jitter.clamp(0.0, 1.0))) as Nanos
 }
--- a/crates/node/src/limits/fleet.rs
+++ b/crates/node/src/limits/fleet.rs
@@ -1,38 +1,40 @@
-//! What a node takes from the other nodes, and its return with them.
+//! Limits on the influence of other nodes' reports, and timeouts of recovery.
 
 use super::SECOND;
 use micadyke::interface::Nanos;
 use micadyke_recovery::phases::Limits;
 
-/// A server that said something within this time needs no look for what others found.
-pub const LOOK: Nanos = SECOND;
-/// Looks a second for what others found, at most: a liar, or one with a broken link, costs so many calls and no more.
-pub const LOOKS: f64 = 4.0;
-/// Part of the servers that may drain by hearsay alone.
-const HEARSAY_PART: f64 = 0.5;
+/// A server that sent something within this time is not probed because of another node's finding.
+pub const RECENT_CONTACT: Nanos = SECOND;
+/// Maximum probes per second caused by findings of other nodes. Bounds the cost of false findings, such as those of a node
+/// with a broken link.
+pub const MAX_PROBES_PER_SECOND: f64 = 4.0;
+/// Share of the servers that may be in a state that only other nodes have reported.
+const MAX_REPORTED_SHARE: f64 = 0.5;
 
-/// Servers, of so many, that may drain by hearsay alone.
-pub fn hearsay(ready: usize) -> usize {
-    (ready as f64 * HEARSAY_PART) as usize
+/// How many of `ready` servers may be in a state that only other nodes have reported.
+pub fn max_reported_servers(ready: usize) -> usize {
+    (ready as f64 * MAX_REPORTED_SHARE) as usize
 }
 
-/// Looks that are left now, of what was left then.
-pub fn looks((left, at): (f64, Nanos), now: Nanos) -> f64 {
-    (left + now.saturating_sub(at) as f64 / SECOND as f64 * LOOKS).min(LOOKS)
+/// The probes available now, from the number available at an earlier time.
+pub fn available_probes((available, updated_at): (f64, Nanos), now: Nanos) -> f64 {
+    (available + now.saturating_sub(updated_at) as f64 / SECOND as f64 * MAX_PROBES_PER_SECOND)
+        .min(MAX_PROBES_PER_SECOND)
 }
 
-/// A working subset is drawn again this long after the last at the earliest: views and lists change in bursts, and the
-/// drawing takes the loop's time: with 200 servers 5 ms for 300 nodes, 40 ms for 2,400.
-pub const REDRAW: Nanos = 2 * SECOND;
-/// A server that turned a set-up away counts as full for so long: a note's usual period.
-pub const FULL: Nanos = 2 * SECOND;
-/// Set-ups stay away for so long from a server that somebody looks at in this window or did in the one before.
-pub const TURN: Nanos = SECOND;
+/// Minimum time between two computations of the working subset. Views and lists change in bursts, and a computation blocks
+/// the event loop: with 200 servers for 5 ms with 300 nodes, for 40 ms with 2,400.
+pub const MIN_SUBSET_INTERVAL: Nanos = 2 * SECOND;
+/// A server that rejected a set-up as full counts as full for this long, the usual interval of its reports.
+pub const FULL_DURATION: Nanos = 2 * SECOND;
+/// Set-ups avoid a server for this long if some node probes it in this window or did so in the previous one.
+pub const PROBED_AVOIDANCE: Nanos = SECOND;
 
-/// How long a node that comes back waits at most: for the bus, which tells all within the longest pause between
-/// calls ([`super::bus::longest_pause`]) once it is back; for the others, whose views settle within twenty
-/// (`docs/results.md`); for servers as long as for one that is called; for a lease two of its usual length.
-pub const RECOVERY: Limits =
+/// Maximum waits of a recovering node in each phase. Once back, the bus delivers the list within the maximum pause between
+/// calls ([`super::bus::max_retry_pause`]); views settle within 20 s (`docs/results.md`); servers answer within a connect
+/// timeout; a lease is granted within two of its usual durations.
+pub const RECOVERY_TIMEOUTS: Limits =
     Limits { list: 10 * SECOND, view: 20 * SECOND, servers: 2 * SECOND, parts: 6 * SECOND };
-/// Servers that one node asks whether they live: hundreds of nodes ask at once, and tell each other what they find.
-pub const ASKED: usize = 8;
+/// Servers that a recovering node probes. Hundreds of nodes probe at the same time and share their findings.
+pub const MAX_PROBED_SERVERS: usize = 8;
--- a/crates/node/src/limits/servers.rs
+++ b/crates/node/src/limits/servers.rs
@@ -1,96 +1,102 @@
-//! Connections to media servers: how many, for how long, which one carries a set-up, and when a server counts as gone.
+//! Connections to media servers: their number, their timeouts, the choice of one for a set-up, and when a server counts as
+//! lost.
 
 use super::{MS, SECOND};
 use micadyke::interface::Nanos;
 
-/// Connections to one server that a set-up is spread over: a spoilt answer takes all others on its connection along.
-pub const CONNECTIONS: usize = 4;
-/// A connection to a server that carried nothing for so long is closed, beyond the one that sessions there need.
+/// Maximum connections to one server. Set-ups are spread over several, as an invalid answer fails all attempts on its
+/// connection.
+pub const MAX_CONNECTIONS_PER_SERVER: usize = 4;
+/// An idle connection is closed after this time, unless sessions of the server need it.
 const IDLE_TIMEOUT: Nanos = 5 * SECOND;
-/// And after this part of the time after which servers close idle connections: a set-up that crosses such a close may
-/// have run, and may not be sent again where that harms.
-const IDLE_PART: Nanos = 2;
-/// Servers write messages whole: half of one that does not go on for so long never will.
-pub const HALF_MESSAGE: Nanos = 250 * MS;
-/// A connection that does not come up within this, where the settings state nothing.
+/// An idle connection is also closed after the servers' own idle timeout divided by this. A set-up that crosses the
+/// server's close may have run and must not be repeated where that does harm.
+const IDLE_DIVISOR: Nanos = 2;
+/// Servers write whole messages, so a partial one that is not completed within this time never will be.
+pub const PARTIAL_MESSAGE_TIMEOUT: Nanos = 250 * MS;
+/// Connect timeout if the settings state none.
 pub const CONNECT_TIMEOUT: Nanos = 250 * MS;
-/// A longer time-out is taken for this one: a call to a machine that has vanished holds a descriptor and a timer.
-pub const LONGEST_CONNECT_TIMEOUT: Nanos = 3 * SECOND;
-/// Bytes that wait to be written to a server at most; a server that lets more pile up reads nothing.
-pub const BACKLOG: usize = 256 << 10;
+/// Upper bound of the connect timeout, as an attempt to connect to a vanished machine holds a descriptor and a timer.
+pub const MAX_CONNECT_TIMEOUT: Nanos = 3 * SECOND;
+/// Maximum bytes queued for a server. A server with a larger backlog is not reading.
+pub const MAX_BACKLOG_BYTES: usize = 256 << 10;
 
-/// After how long a connection that carries nothing is closed, where servers close it after `closed_by_server`; 0: they
-/// do not say.
+/// The idle timeout, given the servers' own (`closed_by_server`; 0 if unknown).
 pub fn idle_timeout(closed_by_server: Nanos) -> Nanos {
     match closed_by_server {
         0 => IDLE_TIMEOUT,
-        stated => IDLE_TIMEOUT.min(stated / IDLE_PART),
+        stated => IDLE_TIMEOUT.min(stated / IDLE_DIVISOR),
     }
 }
 
-/// Whether a server may be about to close a connection that carried nothing since `last`.
-pub fn may_be_closed(last: Nanos, closed_by_server: Nanos, now: Nanos) -> bool {
-    closed_by_server > 0 && now >= last + closed_by_server / IDLE_PART
+/// Whether the server may be about to close a connection that has been idle since `last_used`.
+pub fn may_be_closed(last_used: Nanos, closed_by_server: Nanos, now: Nanos) -> bool {
+    closed_by_server > 0 && now >= last_used + closed_by_server / IDLE_DIVISOR
 }
 
-/// A withdrawal that a connection to a server does not take within this closes the connection: no attempt may begin more than
-/// 0.1 s after its viewer has gone, and a set-up of which a part was taken would.
-pub const WITHDRAWAL: Nanos = 100 * MS;
+/// A connection that does not accept a withdrawal within this time is closed. No attempt may begin more than 0.1 s after its
+/// viewer has gone, and a partly written set-up could otherwise be completed later.
+pub const WITHDRAWAL_TIMEOUT: Nanos = 100 * MS;
 
-/// A server with sessions tells something at least as often as its notes come; silent for longer than this, it is
-/// called on a new connection. The end of a session must be told within 8 s.
-pub const QUIET: Nanos = 3 * SECOND;
-/// Calls in a row that must fail before a silent server counts as gone: one lost handshake is no death.
-pub const CALLS: u32 = 3;
-/// Pause between such calls.
-pub const CALL_PAUSE: Nanos = 300 * MS;
+/// A server with sessions that sends nothing for this long is probed on a new connection. It normally sends something in
+/// each report interval, and the end of a session must be reported to the viewer within 8 s.
+pub const SILENCE_TIMEOUT: Nanos = 3 * SECOND;
+/// Consecutive failed connection attempts after which a silent server counts as lost. A single one may be a lost handshake.
+pub const MAX_FAILED_CALLS: u32 = 3;
+/// Pause between connection attempts to the same server.
+pub const CONNECT_RETRY_PAUSE: Nanos = 300 * MS;
 
-/// First span for which set-ups stay away from a server whose call did not come up: each that tries waits a whole
-/// connect time-out for it, and a node of hundreds sees too few set-ups to learn much from one more.
-const FIRST_LOST: Nanos = SECOND;
-/// Longest such span: the list tells of a return within seconds.
-const LONGEST_LOST: Nanos = 4 * SECOND;
+/// How long set-ups avoid a server after the first failed connection attempt. Each further set-up would wait for a whole
+/// connect timeout, and one node of hundreds has too few set-ups to learn from them.
+const MIN_AVOIDANCE: Nanos = SECOND;
+/// Upper bound of that time. The list reports a restarted server within seconds.
+const MAX_AVOIDANCE: Nanos = 4 * SECOND;
 
-/// How long set-ups stay away from a server after `calls` in a row that did not come up. Where the last was refused, a
-/// machine is there, and its process may be back at once.
-pub fn lost_for(calls: u32, refused: bool) -> Nanos {
-    if refused { CALL_PAUSE } else { (FIRST_LOST << calls.saturating_sub(1).min(8)).min(LONGEST_LOST) }
+/// How long set-ups avoid a server after `failed_calls` consecutive failed connection attempts. If the last was refused,
+/// the machine is up and the process may restart at any moment.
+pub fn avoidance_time(failed_calls: u32, refused: bool) -> Nanos {
+    if refused {
+        CONNECT_RETRY_PAUSE
+    } else {
+        (MIN_AVOIDANCE << failed_calls.saturating_sub(1).min(8)).min(MAX_AVOIDANCE)
+    }
 }
 
-/// A connection that a set-up could go out on.
+/// A connection that could carry a set-up.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Candidate {
-    /// It is up.
+    /// The connection is established and accepts data.
     pub up: bool,
-    /// Set-ups open on it, or waiting for it.
+    /// Number of set-ups that are open on it or waiting for it.
     pub open: usize,
 }
 
-/// Which connection a set-up goes out on.
+/// The choice of a connection for a set-up.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Pick {
-    /// The one at this place.
-    Old(usize),
-    /// A new one.
+    /// The candidate with this index.
+    Existing(usize),
+    /// A new connection.
     New,
-    /// None: all are full, and there is no room for another.
+    /// No connection: all are full and no other may be opened.
     None,
 }
 
-/// Chooses a connection: one that is up and carries no set-up; else a new one while there is room; else the one that
-/// carries the fewest, up to `most` set-ups each.
-pub fn pick(links: &[Candidate], most: usize, room: bool) -> Pick {
+/// Chooses an established connection without set-ups; otherwise a new one if `has_capacity`; otherwise the one with the
+/// fewest set-ups, if it has fewer than `max_open`.
+pub fn pick_connection(links: &[Candidate], max_open: usize, has_capacity: bool) -> Pick {
     let free = links.iter().position(|l| l.up && l.open == 0);
     if let Some(i) = free {
-        return Pick::Old(i);
+        return Pick::Existing(i);
     }
-    if room && links.len() < CONNECTIONS {
+    if has_capacity && links.len() < MAX_CONNECTIONS_PER_SERVER {
         return Pick::New;
     }
-    let least = links.iter().enumerate().filter(|(_, l)| l.open < most).min_by_key(|(_, l)| (!l.up, l.open));
-    match least {
-        Some((i, _)) => Pick::Old(i),
-        None if room => Pick::New,
+    let least_used =
+        links.iter().enumerate().filter(|(_, l)| l.open < max_open).min_by_key(|(_, l)| (!l.up, l.open));
+    match least_used {
+        Some((i, _)) => Pick::Existing(i),
+        None if has_capacity => Pick::New,
         None => Pick::None,
     }
 }
--- a/crates/node/src/list.rs
+++ b/crates/node/src/list.rs
@@ -1,23 +1,23 @@
-//! The list of servers as events of the bus carry it, and its names as numbers.
+//! Server lists in events of the bus, and the conversion of their names to the module's numbers.
 
-use crate::error::Event;
+use crate::error::EventError;
 use micadyke::interface::{Nanos, ServerEntry, ServerId, ServerState};
 use micadyke_settings::{Names, position};
 use serde_json::Value;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
-/// Servers in one event at most; what is named beyond that makes the event unreadable.
-pub const MOST_SERVERS: usize = 4096;
-/// Bytes of a server's id at most.
-const LONGEST_ID: usize = 128;
+/// Maximum servers in one event; an event with more is rejected.
+pub const MAX_SERVERS_PER_EVENT: usize = 4096;
+/// Maximum bytes of a server's id.
+const MAX_ID_BYTES: usize = 128;
 
-/// A server as an event names it.
+/// A server in an event.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Row {
-    /// Its id; a restarted process keeps it, a new server never bears an old one.
+pub struct ServerRow {
+    /// Its id. It survives a restart of the process and is never reused for another server.
     pub id: String,
-    /// Where it listens. A new server may bear the address of one that has gone.
+    /// Its address, which may have belonged to a removed server.
     pub addr: SocketAddr,
     /// Its zone.
     pub zone: String,
@@ -29,58 +29,60 @@
     pub state: ServerState,
     /// Its weight.
     pub weight: f64,
-    /// Unix time of a late start; 0: long ago.
+    /// Unix time of a recent start in nanoseconds; 0 if it started long ago.
     pub started_at: Nanos,
 }
 
 /// An event: a change of the list.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Change {
-    /// Its number, from 1.
+pub struct ListChange {
+    /// Its number, starting at 1.
     pub offset: u64,
-    /// The version of the list that it brings about: the same at all nodes.
+    /// The version of the resulting list, which is the same on all nodes.
     pub version: u64,
-    /// The rows are all there are.
+    /// The rows are the complete list.
     pub full: bool,
     /// The rows.
-    pub rows: Vec<Row>,
+    pub rows: Vec<ServerRow>,
 }
 
-/// Reads an event.
+/// Parses an event.
 ///
 /// # Errors
 ///
-/// Which field is wrong, and how.
-pub fn change(v: &Value) -> Result<Change, Event> {
-    let offset = v["offset"].as_u64().ok_or(Event::NoOffset)?;
+/// The first invalid field.
+pub fn parse_change(v: &Value) -> Result<ListChange, EventError> {
+    let offset = v["offset"].as_u64().ok_or(EventError::NoOffset)?;
     let topology = &v["topology"];
     if topology.is_null() {
-        // Events of another sort are counted and otherwise passed over.
-        return Ok(Change { offset, version: 0, full: false, rows: Vec::new() });
+        // Of other events only the number is used.
+        return Ok(ListChange { offset, version: 0, full: false, rows: Vec::new() });
     }
     let version = topology["version"].as_u64().unwrap_or(0);
     let full = topology["full"].as_bool().unwrap_or(false);
-    let servers = topology["servers"].as_array().ok_or(Event::NoList)?;
-    if servers.len() > MOST_SERVERS {
-        return Err(Event::TooMany(servers.len()));
+    let servers = topology["servers"].as_array().ok_or(EventError::NoList)?;
+    if servers.len() > MAX_SERVERS_PER_EVENT {
+        return Err(EventError::TooMany(servers.len()));
     }
     let rows = servers.iter().enumerate();
-    let rows = rows.map(|(i, r)| row(r).map_err(|(field, lacks)| Event::Server { at: i, field, lacks }));
-    Ok(Change { offset, version, full, rows: last_of_each(rows.collect::<Result<_, _>>()?) })
+    let rows = rows.map(|(i, r)| {
+        parse_row(r).map_err(|(field, problem)| EventError::Server { index: i, field, problem })
+    });
+    Ok(ListChange { offset, version, full, rows: keep_last_of_each(rows.collect::<Result<_, _>>()?) })
 }
 
-/// Of a server that an event names more than once, what it says last.
-fn last_of_each(rows: Vec<Row>) -> Vec<Row> {
+/// Keeps the last row of each server.
+fn keep_last_of_each(rows: Vec<ServerRow>) -> Vec<ServerRow> {
     let mut seen = BTreeSet::new();
-    let mut rows: Vec<Row> = rows.into_iter().rev().filter(|row| seen.insert(row.id.clone())).collect();
+    let mut rows: Vec<ServerRow> = rows.into_iter().rev().filter(|row| seen.insert(row.id.clone())).collect();
     rows.reverse();
     rows
 }
 
-/// Reads a server; else the field, and what it lacks.
-fn row(v: &Value) -> Result<Row, (&'static str, &'static str)> {
+/// Parses a server. An error consists of the field and its problem.
+fn parse_row(v: &Value) -> Result<ServerRow, (&'static str, &'static str)> {
     let text = |key: &str| v[key].as_str().map(str::to_owned);
-    let id = text("id").filter(|i| !i.is_empty() && i.len() <= LONGEST_ID).ok_or(("id", "no name"))?;
+    let id = text("id").filter(|i| !i.is_empty() && i.len() <= MAX_ID_BYTES).ok_or(("id", "no name"))?;
     let state = match v["state"].as_str() {
         Some("up") => ServerState::Ready,
         Some("draining") => ServerState::Draining,
@@ -89,7 +91,7 @@
     };
     let addr = match v["addr"].as_str().map(str::parse) {
         Some(Ok(addr)) => addr,
-        // One that is gone is asked nothing more.
+        // The address of a removed server is not used.
         _ if state == ServerState::Gone => SocketAddr::from(([0, 0, 0, 0], 0)),
         _ => return Err(("addr", "no address and port")),
     };
@@ -105,7 +107,7 @@
         Value::Null => 0,
         c => c.as_u64().and_then(|c| u32::try_from(c).ok()).ok_or(("cell", "no number"))?,
     };
-    Ok(Row {
+    Ok(ServerRow {
         id,
         addr,
         zone: text("zone").unwrap_or_default(),
@@ -117,17 +119,17 @@
     })
 }
 
-/// Numbers for the ids of servers: the module knows numbers alone. An id that comes again after its server was
-/// forgotten gets a new number.
+/// Maps the ids of servers to the numbers that the module uses. An id that comes back after its server was forgotten gets a
+/// new number.
 #[derive(Debug, Default)]
-pub struct Numbers {
+pub struct ServerIds {
     by_id: BTreeMap<String, ServerId>,
     next: u32,
 }
 
-impl Numbers {
-    /// The number of an id, a new one where there is none.
-    pub fn number(&mut self, id: &str) -> ServerId {
+impl ServerIds {
+    /// The number of an id, assigned if it has none.
+    pub fn get_or_assign(&mut self, id: &str) -> ServerId {
         if let Some(&n) = self.by_id.get(id) {
             return n;
         }
@@ -136,37 +138,37 @@
         ServerId(self.next)
     }
 
-    /// The number of an id that is known.
-    pub fn known(&self, id: &str) -> Option<ServerId> {
+    /// The number of an id, if it has one.
+    pub fn get(&self, id: &str) -> Option<ServerId> {
         self.by_id.get(id).copied()
     }
 
-    /// Forgets an id.
+    /// Forgets the id with this number.
     pub fn forget(&mut self, number: ServerId) {
         self.by_id.retain(|_, n| *n != number);
     }
 }
 
-/// A zone's number: its place in the settings, else one past their end that the same name always gets, so that two zones
-/// which the settings lack are not taken for one.
-fn zone(names: &Names, name: &str) -> u32 {
+/// The number of a zone: its index in the settings, or a hash of its name, so that two zones that are missing from the
+/// settings are not confused.
+fn zone_number(names: &Names, name: &str) -> u32 {
     let listed = position(&names.zones, name).map(|z| z as u32);
-    let mix = |n: u32, b: u8| (n ^ u32::from(b)).wrapping_mul(0x0100_0193);
-    listed.unwrap_or_else(|| name.bytes().fold(0x811c_9dc5, mix) | UNLISTED)
+    let fnv_step = |n: u32, b: u8| (n ^ u32::from(b)).wrapping_mul(0x0100_0193);
+    listed.unwrap_or_else(|| name.bytes().fold(0x811c_9dc5, fnv_step) | UNLISTED_ZONE)
 }
 
-/// Numbers of zones that the settings lack carry this bit.
-const UNLISTED: u32 = 1 << 31;
+/// This bit marks the numbers of zones that are missing from the settings.
+const UNLISTED_ZONE: u32 = 1 << 31;
 
-/// A row in the module's words. Names that the settings lack become numbers past their ends.
-pub fn entry(row: &Row, server: ServerId, names: &Names) -> ServerEntry {
+/// Converts a row for the module. A kind that is missing from the settings gets the number after the last.
+pub fn to_entry(row: &ServerRow, server: ServerId, names: &Names) -> ServerEntry {
     ServerEntry {
         server,
         state: row.state,
         kind: position(&names.kinds, &row.kind).unwrap_or(names.kinds.len()),
         weight: row.weight,
         cell: row.cell,
-        zone: zone(names, &row.zone),
+        zone: zone_number(names, &row.zone),
         started_at: row.started_at,
     }
 }
--- a/crates/node/src/shell.rs
+++ b/crates/node/src/shell.rs
@@ -1,14 +1,14 @@
-//! The tokio layer around the core: sockets, clock and signals; no choices.
+//! The tokio layer around the core: sockets, clock and signals, without decisions.
 //!
-//! Everything runs on one thread, as tasks of a `LocalSet`. A task that brings an input calls [`Shell::feed`], which
-//! hands it to the core with one reading of the clock and carries the outputs out before it returns.
+//! Everything runs on one thread, as tasks of a `LocalSet`. Tasks pass inputs to [`Shell::feed`], which hands them to the
+//! core with the current time and applies the outputs before it returns.
 
-use crate::advice::Advised;
-use crate::books::{Counts, Node};
-use crate::config::{Config, LONGEST, read};
+use crate::advice::SpreadAdvice;
+use crate::config::{Config, MAX_CONFIG_BYTES, from_json};
 use crate::error::Error;
 use crate::io::{ConnId, Input, Output};
 use crate::limits;
+use crate::state::{Counts, Node};
 use micadyke::interface::Nanos;
 use micadyke::module::Decide;
 use micadyke_directory::{Key, Session};
@@ -34,74 +34,79 @@
 use tracing::{info, warn};
 
 /// Connections that may wait to be accepted.
-const BACKLOG: u32 = 1024;
-/// A connection that is closed with bytes still to write waits so long for its peer to take them.
-const FLUSH: Duration = Duration::from_secs(2);
-/// Closed connections that may wait for that at a time: each holds a descriptor that the core no longer counts, and
-/// [`limits::OWN_DESCRIPTORS`] has room for so many.
-const FLUSHES: usize = 8;
-/// Bytes that are read and thrown away from a connection that is closed, at most.
-const UNREAD: usize = 64 << 10;
-/// Accepting is tried again after this when descriptors are short.
-const SHORT: Duration = Duration::from_millis(20);
-/// A stopping node looks so often whether it may end. Two looks have the operating system asked in between for what came.
-const LOOK: Duration = Duration::from_millis(5);
-
-/// A new configuration that can't be read is looked at again after this.
-const LOOK_AGAIN: Duration = Duration::from_millis(100);
-/// So many looks at most: half of the time after which what its event bus tells counts as told.
-const LOOKS: u32 = 20;
-
-/// Reads the configuration from its file.
+const ACCEPT_BACKLOG: u32 = 1024;
+/// A closed connection with unwritten bytes waits this long for its peer to receive them.
+const FLUSH_TIMEOUT: Duration = Duration::from_secs(2);
+/// Maximum closed connections that wait at the same time. Each holds a descriptor that the core no longer counts;
+/// [`limits::OWN_DESCRIPTORS`] includes that many.
+const MAX_FLUSHING: usize = 8;
+/// Maximum bytes that are read and discarded from a closed connection.
+const MAX_DISCARDED_BYTES: usize = 64 << 10;
+/// Pause before accepting again when no descriptors are left.
+const ACCEPT_RETRY_PAUSE: Duration = Duration::from_millis(20);
+/// Interval at which a stopping node checks whether it may end. Between two checks pending input is read.
+const STOP_CHECK_INTERVAL: Duration = Duration::from_millis(5);
+
+/// Pause before an unreadable new configuration is read again.
+const RELOAD_RETRY_PAUSE: Duration = Duration::from_millis(100);
+/// Maximum attempts, which take half of the time after which events of the bus count as delivered.
+const MAX_RELOAD_ATTEMPTS: u32 = 20;
+
+/// Reads the configuration from a file.
 ///
 /// # Errors
 ///
 /// What is wrong, with the file and the field.
 pub fn load(path: &Path) -> Result<Config, Error> {
-    let there = |why| Error::File { path: path.into(), why };
-    let size = std::fs::metadata(path).map_err(there)?.len();
-    if size > LONGEST {
+    let file_error = |why| Error::File { path: path.into(), why };
+    let size = std::fs::metadata(path).map_err(file_error)?.len();
+    if size > MAX_CONFIG_BYTES {
         return Err(Error::TooLong { path: path.into(), size });
     }
-    let text = std::fs::read_to_string(path).map_err(there)?;
-    read(&text).map_err(|why| Error::Refused { path: path.into(), why })
+    let text = std::fs::read_to_string(path).map_err(file_error)?;
+    from_json(&text).map_err(|why| Error::Refused { path: path.into(), why })
 }
 
-/// A connection's side of the shell.
+/// The state of a connection.
 #[derive(Debug, Default)]
 struct Conn {
     stream: RefCell<Option<Rc<TcpStream>>>,
-    waiting: RefCell<VecDeque<u8>>,
+    unwritten: RefCell<VecDeque<u8>>,
     written: Cell<u64>,
     /// It leads to a server.
-    server: bool,
-    /// The operating system takes no more on it; known of servers alone.
+    is_server: bool,
+    /// The operating system accepts no more bytes; only tracked for servers.
     blocked: Cell<bool>,
     changed: Notify,
     closing: Cell<bool>,
     paused: Cell<Option<Instant>>,
-    backlog: usize,
+    max_backlog: usize,
     /// It is a viewer's.
-    viewer: bool,
+    is_viewer: bool,
 }
 
 impl Conn {
     /// A viewer's connection.
     fn accepted(stream: TcpStream) -> Rc<Self> {
         let stream = RefCell::new(Some(Rc::new(stream)));
-        Rc::new(Conn { stream, backlog: limits::viewers::BACKLOG, viewer: true, ..Conn::default() })
+        Rc::new(Conn {
+            stream,
+            max_backlog: limits::viewers::MAX_BACKLOG_BYTES,
+            is_viewer: true,
+            ..Conn::default()
+        })
     }
 
-    /// A connection to a server, not up yet.
+    /// A connection to a server that is not yet established.
     fn to_server() -> Rc<Self> {
-        Rc::new(Conn { server: true, backlog: limits::servers::BACKLOG, ..Conn::default() })
+        Rc::new(Conn { is_server: true, max_backlog: limits::servers::MAX_BACKLOG_BYTES, ..Conn::default() })
     }
 
-    /// Writes what the operating system takes now; the rest waits. False: the connection is of no further use.
+    /// Writes what the operating system accepts and keeps the rest. Returns false if the connection has to be closed.
     fn write(&self, bytes: &[u8]) -> bool {
-        let mut waiting = self.waiting.borrow_mut();
+        let mut waiting = self.unwritten.borrow_mut();
         waiting.extend(bytes);
-        let Some(stream) = self.stream.borrow().clone() else { return waiting.len() <= self.backlog };
+        let Some(stream) = self.stream.borrow().clone() else { return waiting.len() <= self.max_backlog };
         while !waiting.is_empty() {
             match stream.try_write(waiting.as_slices().0) {
                 Ok(n) => {
@@ -115,35 +120,35 @@
         if waiting.is_empty() {
             *waiting = VecDeque::new();
         }
-        waiting.len() <= self.backlog
+        waiting.len() <= self.max_backlog
     }
 
-    /// Writes one message to a server. One that is not begun is dropped, the rest of one that is waits. False: the
-    /// connection is of no further use.
-    fn offer(&self, message: &[u8]) -> bool {
+    /// Writes one message to a server. A message that can't be started is dropped; the rest of a started one is kept.
+    /// Returns false if the connection has to be closed.
+    fn write_message(&self, message: &[u8]) -> bool {
         if self.blocked.get() {
             return true;
         }
         let before = self.written.get();
-        let sound = self.write(message);
-        if !self.waiting.borrow().is_empty() {
+        let usable = self.write(message);
+        if !self.unwritten.borrow().is_empty() {
             self.blocked.set(true);
             if self.written.get() == before {
-                self.waiting.borrow_mut().clear();
+                self.unwritten.borrow_mut().clear();
             }
         }
-        sound
+        usable
     }
 
-    /// What was not taken is dropped, and what the operating system has not yet sent.
+    /// Drops all unsent bytes, including those that the operating system has accepted.
     fn abort(&self) {
-        self.waiting.borrow_mut().clear();
+        self.unwritten.borrow_mut().clear();
         let _ = self.stream.borrow().as_ref().map(|s| s.set_zero_linger());
     }
 
-    /// What was left has gone out, and more would be taken.
-    fn unblocked(&self) -> bool {
-        self.waiting.borrow().is_empty() && self.blocked.replace(false)
+    /// Whether the connection was blocked and has become writable; it is then no longer marked as blocked.
+    fn take_unblocked(&self) -> bool {
+        self.unwritten.borrow().is_empty() && self.blocked.replace(false)
     }
 }
 
@@ -151,131 +156,140 @@
 struct Shell<D> {
     core: RefCell<Node<D>>,
     start: Instant,
-    /// Unix time at its start.
+    /// Unix time at the start, in nanoseconds.
     epoch: u64,
     conns: RefCell<HashMap<ConnId, Rc<Conn>>>,
-    /// Inputs that came up while outputs were carried out.
-    later: RefCell<VecDeque<Input<'static>>>,
-    next: Cell<u64>,
-    /// Connections, bytes and closes that came from viewers so far.
-    from_viewers: Cell<u64>,
-    /// Connections that are closed but for bytes that their peers have not taken.
+    /// Inputs that were produced while outputs were applied.
+    deferred: RefCell<VecDeque<Input<'static>>>,
+    next_conn: Cell<u64>,
+    /// Number of connections and reads from viewers so far.
+    viewer_inputs: Cell<u64>,
+    /// Number of closed connections that wait for their peers to receive the last bytes.
     flushing: Cell<usize>,
     wake: Notify,
-    armed: Cell<Nanos>,
-    /// To the other nodes, where there are any.
-    tell: Option<mpsc::Sender<ServerReport>>,
-    /// To the store, where there is one.
-    keeper: Option<Rc<StoreWriter>>,
-    /// To the directory, where there is one.
+    timer_at: Cell<Nanos>,
+    /// Reports to the other nodes, if there are any.
+    reports: Option<mpsc::Sender<ServerReport>>,
+    /// The writer of the store, if there is one.
+    store_writer: Option<Rc<StoreWriter>>,
+    /// The directory, if there is one.
     index: Option<Rc<dyn Index>>,
 }
 
-/// A directory that is told of sessions. It takes each word at once: a word lost would stand in it for good.
+/// A directory that is notified of sessions. It must accept each call at once, as a lost one would leave a wrong entry for
+/// good.
 pub trait Index: std::fmt::Debug {
-    /// A session stands, or does so no longer.
-    fn booked(&self, session: &Session, started: bool);
+    /// A session started or ended.
+    fn session_changed(&self, session: &Session, playing: bool);
 
-    /// So many sessions of a title or viewer are left.
-    fn left(&self, what: &Key, sessions: u64);
+    /// Reports the number of remaining sessions of a title or viewer.
+    fn sessions_left(&self, key: &Key, count: u64);
 }
 
-/// The way to a directory.
+/// The connection to a directory.
 #[derive(Debug)]
-pub struct Directed {
-    /// Where it is told.
+pub struct DirectoryLink {
+    /// The directory.
     pub index: Rc<dyn Index>,
-    /// Titles and viewers whose sessions are to end; what is lost is asked again.
-    pub ends: mpsc::Receiver<Key>,
+    /// Titles and viewers whose sessions have to end. A lost request is repeated by the sender.
+    pub withdrawals: mpsc::Receiver<Key>,
 }
 
-/// The way to the other nodes, by whoever keeps the view of them.
+/// The channels to the other nodes.
 #[derive(Debug)]
-pub struct Others {
-    /// This node's part of the cold budgets; without it that goes by the number of fronts in the settings.
-    pub parts: Option<ShareReceiver>,
-    /// What they tell of servers.
-    pub heard: mpsc::Receiver<ServerReport>,
-    /// What this node tells of servers; what does not fit is lost.
-    pub tell: mpsc::Sender<ServerReport>,
-    /// Who is there.
-    pub fleet: mpsc::Receiver<MembershipEvent>,
-    /// The directory that is kept with them, if one is.
-    pub directory: Option<Directed>,
-    /// This node's name in the view, and how it chooses with them; none: for itself.
-    pub chooses: Option<(String, SubsetSettings)>,
+pub struct Peers {
+    /// This node's share of the cold budgets. Without it the share follows from the number of fronts in the settings.
+    pub shares: Option<ShareReceiver>,
+    /// Server reports from the other nodes.
+    pub reports_in: mpsc::Receiver<ServerReport>,
+    /// Server reports to the other nodes; dropped if the channel is full.
+    pub reports_out: mpsc::Sender<ServerReport>,
+    /// Changes of the membership.
+    pub membership: mpsc::Receiver<MembershipEvent>,
+    /// The directory, if there is one.
+    pub directory: Option<DirectoryLink>,
+    /// This node's name in the view and the settings of coordination, if it is enabled.
+    pub coordination: Option<(String, SubsetSettings)>,
 }
 
-/// What a node that keeps a store comes back with.
+/// The state with which a node with a store starts.
 #[derive(Debug)]
-pub struct Recovers {
-    /// Its name, as the others know it: membership's settings may give another than the platform.
+pub struct RecoverySetup {
+    /// Its name in the membership, which may differ from that of the platform.
     pub name: String,
-    /// What was kept.
-    pub kept: StoredState,
-    /// This start, as the others know it.
+    /// The stored state.
+    pub stored: StoredState,
+    /// The number of this start in the membership.
     pub start: u64,
-    /// Where it is kept for the next time; none where the disk refused: it comes back by the phases all the same.
-    pub keeper: Option<Rc<StoreWriter>>,
+    /// The writer of the store. `None` if the disk failed; recovery takes place nevertheless.
+    pub store_writer: Option<Rc<StoreWriter>>,
 }
 
-/// Runs a node by its configuration until SIGTERM; then answers what it owes and returns.
+/// Runs a node until SIGTERM, then answers open requests and returns.
 ///
 /// # Errors
 ///
-/// Where it cannot listen, or hears no signals.
+/// If it can't listen or install signal handlers.
 pub async fn run<D: Decide + 'static>(
-    path: PathBuf, config: Config, decide: impl FnOnce(Nanos) -> D, others: Option<Others>,
-    recovers: Option<Recovers>,
+    path: PathBuf, config: Config, decide: impl FnOnce(Nanos) -> D, peers: Option<Peers>,
+    recovers: Option<RecoverySetup>,
 ) -> Result<Counts, Error> {
-    // Signals first: once a connection can be accepted, none of them may end the process by its default action.
+    // Signal handlers first: once a connection can be accepted, no signal may end the process by its default action.
     let mut term = signal(SignalKind::terminate()).map_err(Error::Signals)?;
     let mut int = signal(SignalKind::interrupt()).map_err(Error::Signals)?;
     let hup = signal(SignalKind::hangup()).map_err(Error::Signals)?;
     let listener = listen(config.listen).map_err(|why| Error::Listen { at: config.listen, why })?;
     let epoch = micadyke_membership::clock::unix().as_nanos() as u64;
-    let kept = recovers.as_ref().map(|r| &r.kept);
-    let module = Advised::new(decide(epoch), &config.deployment.settings, kept);
+    let stored = recovers.as_ref().map(|r| &r.stored);
+    let module = SpreadAdvice::new(decide(epoch), &config.deployment.settings, stored);
     let mut node = Node::new(&config, module, epoch);
-    if others.is_some() {
-        node.has_others();
+    if peers.is_some() {
+        node.enable_peers();
     }
-    if others.as_ref().is_some_and(|o| o.directory.is_some()) {
-        node.has_directory();
+    if peers.as_ref().is_some_and(|o| o.directory.is_some()) {
+        node.enable_directory();
     }
-    if let Some((me, terms)) = others.as_ref().and_then(|o| o.chooses.clone()) {
-        node.chooses(&me, terms);
+    if let Some((own_name, settings)) = peers.as_ref().and_then(|o| o.coordination.clone()) {
+        node.coordinate(&own_name, settings);
     }
-    let keeper = recovers.and_then(|Recovers { name, kept, start, keeper }| {
-        let leases = others.as_ref().is_some_and(|o| o.parts.is_some());
+    let store_writer = recovers.and_then(|RecoverySetup { name, stored, start, store_writer }| {
+        let leases = peers.as_ref().is_some_and(|o| o.shares.is_some());
         let me = (name.as_str(), start);
-        node.recovers(
-            RecoveryPhases::new(limits::fleet::RECOVERY, me, &kept, epoch, leases, others.is_none(), epoch),
-            &kept,
+        node.start_recovery(
+            RecoveryPhases::new(
+                limits::fleet::RECOVERY_TIMEOUTS,
+                me,
+                &stored,
+                epoch,
+                leases,
+                peers.is_none(),
+                epoch,
+            ),
+            &stored,
         );
-        keeper
+        store_writer
     });
     let shell = Rc::new(Shell {
         core: RefCell::new(node),
         start: Instant::now(),
         epoch,
         conns: RefCell::default(),
-        later: RefCell::default(),
-        next: Cell::new(1),
-        from_viewers: Cell::new(0),
+        deferred: RefCell::default(),
+        next_conn: Cell::new(1),
+        viewer_inputs: Cell::new(0),
         flushing: Cell::new(0),
         wake: Notify::new(),
-        armed: Cell::new(Nanos::MAX),
-        tell: others.as_ref().map(|o| o.tell.clone()),
-        index: others.as_ref().and_then(|o| o.directory.as_ref()).map(|d| d.index.clone()),
-        keeper,
+        timer_at: Cell::new(Nanos::MAX),
+        reports: peers.as_ref().map(|o| o.reports_out.clone()),
+        index: peers.as_ref().and_then(|o| o.directory.as_ref()).map(|d| d.index.clone()),
+        store_writer,
     });
     info!(name = config.name, listen = %config.listen, sockets = config.sockets, "serving");
     drop(config);
     let reload = spawn_local(shell.clone().reload(path, hup));
-    let timers = spawn_local(shell.clone().timers());
-    let others = others.map(|o| spawn_local(shell.clone().others(o)));
-    shell.feed(Input::Wake);
+    let timers = spawn_local(shell.clone().run_timers());
+    let peers = peers.map(|o| spawn_local(shell.clone().run_peers(o)));
+    shell.feed(Input::Timer);
     let accept = spawn_local(shell.clone().accept(listener));
     tokio::select! {
         _ = term.recv() => {}
@@ -286,7 +300,7 @@
     accept.abort();
     reload.abort();
     timers.abort();
-    others.into_iter().for_each(|o| o.abort());
+    peers.into_iter().for_each(|o| o.abort());
     let counts = shell.core.borrow().counts();
     info!(?counts, "stopped");
     Ok(counts)
@@ -296,7 +310,7 @@
     let socket = if at.is_ipv4() { TcpSocket::new_v4()? } else { TcpSocket::new_v6()? };
     socket.set_reuseaddr(true)?;
     socket.bind(at)?;
-    socket.listen(BACKLOG)
+    socket.listen(ACCEPT_BACKLOG)
 }
 
 impl<D: Decide + 'static> Shell<D> {
@@ -304,82 +318,84 @@
         self.epoch + self.start.elapsed().as_nanos() as u64
     }
 
-    /// Serves on until a stopping node may end: the core owes nothing, what it said was taken by its peers, and the
-    /// operating system held nothing more of viewers. Not for longer than the core allows.
+    /// Waits until a stopping node may end: the core has no open requests, peers have received everything, and there is no
+    /// pending input of viewers. Ends at the core's deadline at the latest.
     async fn serve_until_done(&self) {
         let mut seen = None;
         loop {
-            tokio::time::sleep(LOOK).await;
+            tokio::time::sleep(STOP_CHECK_INTERVAL).await;
             let now = self.now();
             let core = self.core.borrow();
-            if core.ends_by().is_none_or(|by| now >= by) {
+            if core.end_deadline().is_none_or(|by| now >= by) {
                 return;
             }
-            let came = self.from_viewers.get();
-            let quiet = seen.replace(came) == Some(came);
-            if core.done(now) && quiet && !self.unwritten() {
+            let inputs = self.viewer_inputs.get();
+            let quiet = seen.replace(inputs) == Some(inputs);
+            if core.may_end(now) && quiet && !self.has_unwritten() {
                 return;
             }
         }
     }
 
-    /// Whether peers have not taken all that they were told.
-    fn unwritten(&self) -> bool {
-        self.flushing.get() > 0 || self.conns.borrow().values().any(|c| !c.waiting.borrow().is_empty())
+    /// Whether peers have not received everything.
+    fn has_unwritten(&self) -> bool {
+        self.flushing.get() > 0 || self.conns.borrow().values().any(|c| !c.unwritten.borrow().is_empty())
     }
 
-    /// Notes that something came from a viewer.
-    fn came(&self, from: &Conn) {
-        self.from_viewers.set(self.from_viewers.get() + u64::from(from.viewer));
+    /// Counts an input from a viewer.
+    fn count_input(&self, from: &Conn) {
+        self.viewer_inputs.set(self.viewer_inputs.get() + u64::from(from.is_viewer));
     }
 
-    /// Hands an input to the core and carries out what it says.
+    /// Passes an input to the core and applies its outputs.
     fn feed(self: &Rc<Self>, input: Input) {
         let mut out = Vec::new();
         self.core.borrow_mut().handle(self.now(), input, &mut out);
         loop {
-            out.drain(..).for_each(|o| self.carry_out(o));
-            let Some(input) = self.later.borrow_mut().pop_front() else { break };
+            out.drain(..).for_each(|o| self.apply_output(o));
+            let Some(input) = self.deferred.borrow_mut().pop_front() else { break };
             self.core.borrow_mut().handle(self.now(), input, &mut out);
         }
         let at = self.core.borrow().wake_at();
-        if at < self.armed.get() {
+        if at < self.timer_at.get() {
             self.wake.notify_one();
         }
     }
 
-    fn carry_out(self: &Rc<Self>, output: Output) {
+    fn apply_output(self: &Rc<Self>, output: Output) {
         match output {
             Output::Write { conn, bytes } => {
                 let Some(c) = self.conns.borrow().get(&conn).cloned() else { return };
                 let was_blocked = c.blocked.get();
-                let sound = if c.server { c.offer(&bytes) } else { c.write(&bytes) };
-                if !sound {
+                let usable = if c.is_server { c.write_message(&bytes) } else { c.write(&bytes) };
+                if !usable {
                     self.conns.borrow_mut().remove(&conn);
                     c.closing.set(true);
-                    c.waiting.borrow_mut().clear();
+                    c.unwritten.borrow_mut().clear();
                     c.changed.notify_one();
                     let closed = Input::Closed { conn, written: c.written.get(), refused: false };
-                    self.later.borrow_mut().push_back(closed);
+                    self.deferred.borrow_mut().push_back(closed);
                 } else if c.blocked.get() && !was_blocked {
-                    // Ahead of all else: the core takes back what it wrote in this turn.
-                    self.later.borrow_mut().push_front(Input::Blocked { conn, written: c.written.get() });
+                    // Before all other inputs: the core takes back what it wrote for the current one.
+                    self.deferred.borrow_mut().push_front(Input::Blocked { conn, written: c.written.get() });
                     c.changed.notify_one();
-                } else if !c.waiting.borrow().is_empty() {
+                } else if !c.unwritten.borrow().is_empty() {
                     c.changed.notify_one();
                 }
             }
-            Output::Keep(record) => {
-                if let Some(keeper) = &self.keeper {
-                    keeper.save(record);
+            Output::Save(record) => {
+                if let Some(store_writer) = &self.store_writer {
+                    store_writer.save(record);
                 }
             }
-            Output::Booked { session, started } => {
-                self.index.iter().for_each(|i| i.booked(&session, started));
+            Output::IndexSession { session, playing } => {
+                self.index.iter().for_each(|i| i.session_changed(&session, playing));
             }
-            Output::Left { what, sessions } => self.index.iter().for_each(|i| i.left(&what, sessions)),
-            Output::Tell(news) => {
-                let _ = self.tell.as_ref().map(|t| t.try_send(news));
+            Output::SessionsLeft { key, count } => {
+                self.index.iter().for_each(|i| i.sessions_left(&key, count))
+            }
+            Output::NotifyPeers(report) => {
+                let _ = self.reports.as_ref().map(|t| t.try_send(report));
             }
             Output::Close { conn } => {
                 let Some(c) = self.conns.borrow_mut().remove(&conn) else { return };
@@ -392,60 +408,60 @@
             Output::Connect { conn, addr } => {
                 let c = Conn::to_server();
                 self.conns.borrow_mut().insert(conn, c.clone());
-                spawn_local(self.clone().link(conn, addr, c));
+                spawn_local(self.clone().run_link(conn, addr, c));
             }
-            Output::Listen { conn, addr, last } => {
+            Output::Subscribe { conn, addr, last } => {
                 let c = Rc::new(Conn::default());
                 self.conns.borrow_mut().insert(conn, c.clone());
-                spawn_local(self.clone().bus(conn, addr, last, c));
+                spawn_local(self.clone().run_bus(conn, addr, last, c));
             }
-            Output::Pause { conn, span } => {
+            Output::PauseReading { conn, duration } => {
                 if let Some(c) = self.conns.borrow().get(&conn) {
-                    c.paused.set(Some(Instant::now() + Duration::from_nanos(span)));
+                    c.paused.set(Some(Instant::now() + Duration::from_nanos(duration)));
                 }
             }
         }
     }
 
-    /// Hands over what the view of the other nodes brings.
-    async fn others(self: Rc<Self>, others: Others) {
-        let Others { parts, mut heard, mut fleet, directory, .. } = others;
-        if let Some(parts) = parts {
-            spawn_local(self.clone().parts(parts));
+    /// Passes on what arrives from the other nodes.
+    async fn run_peers(self: Rc<Self>, peers: Peers) {
+        let Peers { shares, mut reports_in, mut membership, directory, .. } = peers;
+        if let Some(shares) = shares {
+            spawn_local(self.clone().run_shares(shares));
         }
         if let Some(directory) = directory {
-            spawn_local(self.clone().ends(directory.ends));
+            spawn_local(self.clone().run_withdrawals(directory.withdrawals));
         }
         loop {
             tokio::select! {
-                Some(news) = heard.recv() => self.feed(Input::Heard(&news)),
-                Some(fact) = fleet.recv() => self.feed(Input::Fleet(&fact)),
+                Some(report) = reports_in.recv() => self.feed(Input::ServerReport(&report)),
+                Some(event) = membership.recv() => self.feed(Input::Membership(&event)),
                 else => return,
             }
         }
     }
 
-    async fn ends(self: Rc<Self>, mut ends: mpsc::Receiver<Key>) {
-        while let Some(what) = ends.recv().await {
-            self.feed(Input::End(&what));
+    async fn run_withdrawals(self: Rc<Self>, mut withdrawals: mpsc::Receiver<Key>) {
+        while let Some(key) = withdrawals.recv().await {
+            self.feed(Input::EndSessions(&key));
         }
     }
 
-    async fn parts(self: Rc<Self>, mut parts: ShareReceiver) {
-        while let Some((always, leased, span)) = next_share(&mut parts).await {
-            self.feed(Input::Part { always, leased, span });
+    async fn run_shares(self: Rc<Self>, mut shares: ShareReceiver) {
+        while let Some((guaranteed, leased, lease_duration)) = next_share(&mut shares).await {
+            self.feed(Input::ColdBudgetShare { guaranteed, leased, lease_duration });
         }
     }
 
-    async fn timers(self: Rc<Self>) {
+    async fn run_timers(self: Rc<Self>) {
         loop {
             let at = self.core.borrow().wake_at();
-            self.armed.set(at);
+            self.timer_at.set(at);
             let span = Duration::from_nanos(at.saturating_sub(self.now()).min(limits::SECOND));
             tokio::select! {
                 () = tokio::time::sleep(span) => {
-                    self.armed.set(Nanos::MAX);
-                    self.feed(Input::Wake);
+                    self.timer_at.set(Nanos::MAX);
+                    self.feed(Input::Timer);
                 }
                 () = self.wake.notified() => {}
             }
@@ -458,24 +474,24 @@
                 Ok((stream, _)) => stream,
                 Err(e) => {
                     warn!("no connection can be accepted: {e}");
-                    tokio::time::sleep(SHORT).await;
+                    tokio::time::sleep(ACCEPT_RETRY_PAUSE).await;
                     continue;
                 }
             };
             let _ = stream.set_nodelay(true);
-            self.next.set(self.next.get() + 2);
-            let conn = ConnId(self.next.get());
+            self.next_conn.set(self.next_conn.get() + 2);
+            let conn = ConnId(self.next_conn.get());
             let c = Conn::accepted(stream);
             self.conns.borrow_mut().insert(conn, c.clone());
-            self.came(&c);
-            self.feed(Input::ViewerOpened { conn });
-            spawn_local(self.clone().serve(conn, c));
-            // What makes room for it is closed before the next is accepted: both hold descriptors until then.
+            self.count_input(&c);
+            self.feed(Input::ViewerConnected { conn });
+            spawn_local(self.clone().run_connection(conn, c));
+            // An evicted connection is closed before the next is accepted, as both hold descriptors until then.
             tokio::task::yield_now().await;
         }
     }
 
-    async fn link(self: Rc<Self>, conn: ConnId, addr: SocketAddr, c: Rc<Conn>) {
+    async fn run_link(self: Rc<Self>, conn: ConnId, addr: SocketAddr, c: Rc<Conn>) {
         let stream = tokio::select! {
             s = TcpStream::connect(addr) => s,
             () = c.changed.notified() => return,
@@ -484,8 +500,8 @@
             Ok(stream) => {
                 let _ = stream.set_nodelay(true);
                 *c.stream.borrow_mut() = Some(Rc::new(stream));
-                self.feed(Input::Up { conn });
-                self.serve(conn, c).await;
+                self.feed(Input::Connected { conn });
+                self.run_connection(conn, c).await;
             }
             Err(e) => {
                 let refused = e.kind() == ErrorKind::ConnectionRefused;
@@ -496,31 +512,31 @@
         }
     }
 
-    /// Reads and writes a connection until it is over.
-    async fn serve(self: Rc<Self>, conn: ConnId, c: Rc<Conn>) {
+    /// Reads from and writes to a connection until it is closed.
+    async fn run_connection(self: Rc<Self>, conn: ConnId, c: Rc<Conn>) {
         let Some(stream) = c.stream.borrow().clone() else { return };
         loop {
             if c.closing.get() {
-                return self.finish(&stream, &c).await;
+                return self.flush_and_close(&stream, &c).await;
             }
             if let Some(until) = c.paused.take() {
                 tokio::select! {
                     () = tokio::time::sleep_until(until.into()) => {}
                     () = c.changed.notified() => c.paused.set(Some(until)),
                 }
-                if !c.waiting.borrow().is_empty() && !c.write(&[]) {
+                if !c.unwritten.borrow().is_empty() && !c.write(&[]) {
                     break;
                 }
                 continue;
             }
-            let full = c.blocked.get() || !c.waiting.borrow().is_empty();
+            let has_unwritten = c.blocked.get() || !c.unwritten.borrow().is_empty();
             let read = tokio::select! {
                 n = read_some(&stream, |bytes| self.feed(Input::Data { conn, bytes })) => n,
-                w = stream.writable(), if full => {
+                w = stream.writable(), if has_unwritten => {
                     if w.is_err() || !c.write(&[]) {
                         break;
                     }
-                    if c.unblocked() {
+                    if c.take_unblocked() {
                         self.feed(Input::Writable { conn });
                     }
                     continue;
@@ -530,8 +546,8 @@
             if !matches!(read, Ok(1..)) {
                 break;
             }
-            self.came(&c);
-            // Fair turns: one that sends without end does not keep the others waiting.
+            self.count_input(&c);
+            // Fairness: a connection with continuous input must not starve the others.
             tokio::task::yield_now().await;
         }
         if self.conns.borrow_mut().remove(&conn).is_some() {
@@ -539,10 +555,10 @@
         }
     }
 
-    /// Reads the event bus until its stream is over.
-    async fn bus(self: Rc<Self>, conn: ConnId, addr: SocketAddr, last: u64, c: Rc<Conn>) {
+    /// Reads the event bus until its stream ends.
+    async fn run_bus(self: Rc<Self>, conn: ConnId, addr: SocketAddr, last: u64, c: Rc<Conn>) {
         tokio::select! {
-            e = self.listen_to(conn, addr, last) => {
+            e = self.read_bus(conn, addr, last) => {
                 if let Err(e) = e {
                     info!(%addr, last, "the event bus broke off: {e:?}");
                 }
@@ -554,9 +570,9 @@
         }
     }
 
-    async fn listen_to(self: &Rc<Self>, conn: ConnId, addr: SocketAddr, last: u64) -> Result<(), CallError> {
-        // How long a call may take is the core's to say; it closes the connection.
-        let limit = Duration::from_nanos(limits::bus::LONGEST_CALL);
+    async fn read_bus(self: &Rc<Self>, conn: ConnId, addr: SocketAddr, last: u64) -> Result<(), CallError> {
+        // The core decides how long a call may take, and closes the connection.
+        let limit = Duration::from_nanos(limits::bus::MAX_CALL_TIMEOUT);
         let mut bus = Connection::open(addr, limit, Limits::default()).await?;
         let request = Request::new(Method::Get, "/bus/read").with("accept", "text/event-stream");
         let answer = bus.open_stream(&request.with("last-event-id", last.to_string())).await?;
@@ -564,65 +580,65 @@
             warn!(status = answer.status, "the event bus refuses");
             return Ok(());
         }
-        self.feed(Input::Up { conn });
+        self.feed(Input::Connected { conn });
         while let Some(bytes) = bus.chunk().await? {
             self.feed(Input::Data { conn, bytes: &bytes });
         }
         Ok(())
     }
 
-    /// Reads the configuration again at each SIGHUP.
+    /// Reloads the configuration at each SIGHUP.
     async fn reload(self: Rc<Self>, path: PathBuf, mut hup: tokio::signal::unix::Signal) {
         while hup.recv().await.is_some() {
             loop {
                 tokio::select! {
-                    () = self.read_again(&path) => break,
-                    // From the beginning: there may be another file by now.
+                    () = self.reload_config(&path) => break,
+                    // Restarted, as the file may have been replaced.
                     signal = hup.recv() => if signal.is_none() { return },
                 }
             }
         }
     }
 
-    /// Reads the configuration. One that can't be read changes nothing; it is looked at again for a while, for it
-    /// may be half written.
-    async fn read_again(self: &Rc<Self>, path: &Path) {
-        for look in 0..LOOKS {
+    /// Reloads the configuration. An unreadable file changes nothing; it is read again for a while, as it may be only partly
+    /// written.
+    async fn reload_config(self: &Rc<Self>, path: &Path) {
+        for attempt in 0..MAX_RELOAD_ATTEMPTS {
             match load(path) {
                 Ok(config) => {
                     info!(bus = %config.bus, "configuration read again");
                     return self.feed(Input::BusMoved { addr: config.bus });
                 }
-                Err(e) if look == 0 => warn!(advice = e.advice(), "the old configuration stays: {e}"),
+                Err(e) if attempt == 0 => warn!(advice = e.advice(), "the old configuration stays: {e}"),
                 Err(_) => {}
             }
-            tokio::time::sleep(LOOK_AGAIN).await;
+            tokio::time::sleep(RELOAD_RETRY_PAUSE).await;
         }
     }
 
-    /// Writes what is left of a connection that is closed, unless too many wait for that already.
-    async fn finish(&self, stream: &TcpStream, c: &Conn) {
+    /// Writes the remaining bytes of a closed connection, unless too many connections are doing so already.
+    async fn flush_and_close(&self, stream: &TcpStream, c: &Conn) {
         let rest = async {
-            while !c.waiting.borrow().is_empty() {
+            while !c.unwritten.borrow().is_empty() {
                 if stream.writable().await.is_err() || !c.write(&[]) {
                     return;
                 }
             }
         };
-        if !c.waiting.borrow().is_empty() && self.flushing.get() < FLUSHES {
+        if !c.unwritten.borrow().is_empty() && self.flushing.get() < MAX_FLUSHING {
             self.flushing.set(self.flushing.get() + 1);
-            let _ = tokio::time::timeout(FLUSH, rest).await;
+            let _ = tokio::time::timeout(FLUSH_TIMEOUT, rest).await;
             self.flushing.set(self.flushing.get() - 1);
         }
         discard_unread(stream);
     }
 }
 
-/// Reads away what came on a connection that is closed: with bytes unread, the operating system would reset it and drop
-/// what the peer has not been sent yet.
+/// Reads and discards pending input of a closed connection. With unread bytes the operating system would reset the
+/// connection and drop what the peer has not yet received.
 fn discard_unread(stream: &TcpStream) {
     let mut buffer = [0u8; 8192];
-    let mut left = UNREAD;
+    let mut left = MAX_DISCARDED_BYTES;
     while left > 0 {
         match stream.try_read(&mut buffer) {
             Ok(n @ 1..) => left = left.saturating_sub(n),
--- a/crates/node/tests/advice.rs
+++ b/crates/node/tests/advice.rs
@@ -1,12 +1,12 @@
-//! Advice to a crowd while its node comes back.
+//! Spreading of retry delays during recovery.
 
 use micadyke::interface::{Action, Event, ListKind, Nanos, SessionId, Settings};
 use micadyke::module::Decide;
-use micadyke_node::advice::Advised;
+use micadyke_node::advice::SpreadAdvice;
 use micadyke_recovery::record::StoredState;
 use std::collections::BTreeSet;
 
-/// Refuses whatever comes, with the same advice.
+/// A module that refuses everything with the same delay.
 struct Refuses;
 
 impl Decide for Refuses {
@@ -17,7 +17,7 @@
 
 #[test]
 fn a_crowd_is_spread_until_the_module_knows_servers() {
-    // Forty streams that fill over ten seconds: four set-ups a second.
+    // 40 streams that are filled over 10 s: four set-ups per second.
     let settings = Settings {
         fronts: 1,
         cells: 4,
@@ -28,7 +28,7 @@
         max_retry_after: 10_000_000_000,
         ..Settings::default()
     };
-    let mut module = Advised::new(Refuses, &settings, Some(&StoredState::default()));
+    let mut module = SpreadAdvice::new(Refuses, &settings, Some(&StoredState::default()));
     let mut ask = |event: Event| {
         let mut out = Vec::new();
         module.handle(5, event, &mut out);
@@ -37,7 +37,7 @@
     };
     let left = || Event::Left { session: SessionId(1) };
     let told: BTreeSet<Nanos> = (0..37).map(|_| ask(left())).collect();
-    // Four in each second from the first to the tenth, each at a time of its own.
+    // Four per second from the first second to the tenth, each at a different time.
     assert_eq!((told.len(), told.first(), told.last()), (37, Some(&1_000_000_000), Some(&10_000_000_000)));
     assert!(told.iter().zip(told.iter().skip(1)).all(|(a, b)| b - a == 250_000_000));
     assert_eq!(ask(Event::List { kind: ListKind::Full, entries: Vec::new() }), 7);
--- a/crates/node/tests/answers.rs
+++ b/crates/node/tests/answers.rs
@@ -1,5 +1,5 @@
-//! Answers of servers that break off at each byte, come twice, or bring more than belongs to them; requests that come in
-//! pieces, in floods, or again under the same number. At the core, in virtual time.
+//! Answers of servers that are truncated at each byte, duplicated, or followed by other bytes; requests that arrive in pieces,
+//! in floods, or twice under the same id. Run on the core in virtual time.
 
 mod world;
 
@@ -10,29 +10,29 @@
 
 /// How long viewers wait.
 const PATIENCE: u64 = 2000;
-/// A session that stands plays beyond the end of each test.
+/// A playing session lasts beyond the end of each test.
 const LIFE: u64 = 60 * SECOND;
 const ANSWER: Word = Word::Answer(LIFE);
 
-/// What follows the first part of a word.
+/// What follows the first part of a message.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Then {
-    /// The server closes the connection behind it.
+    /// The server closes the connection after it.
     Fin,
-    /// The connection breaks with it, and what was not read yet is lost.
+    /// The connection is reset, and unread bytes are lost.
     Reset,
     /// Nothing; the connection stays open.
     Silent,
     /// The rest, 300 ms later.
     Rest,
-    /// The rest, a byte each millisecond.
+    /// The rest, one byte per millisecond.
     Bytes,
 }
 
 const THEN: [Then; 5] = [Then::Fin, Then::Reset, Then::Silent, Then::Rest, Then::Bytes];
 const WORDS: [Word; 5] = [ANSWER, Word::Refusal(453), Word::Refusal(500), Word::Release, Word::Note];
 
-/// The server's part of a cut word: the first part now, then what follows.
+/// Plays the server's side of a truncated message: the first part at once, then what follows.
 fn say_cut(w: &mut World, at: OpenAt, word: Word, cut: usize, then: Then) {
     let bytes = w.worded(at, word);
     let (first, rest) = (bytes[..cut].to_vec(), bytes[cut..].to_vec());
@@ -58,11 +58,11 @@
     }
 }
 
-/// The set-up whose answer is cut.
+/// The set-up whose answer is truncated.
 const CUT: u64 = 7;
 
-/// A server's word to one set-up is cut while `others` are out at the two servers; these are answered a while later, and
-/// what is sent from then on is served. Returns the world at its end, and the others that shared the connection.
+/// Truncates a server's message for one set-up while `others` are in flight at the two servers. These are answered later, and
+/// new set-ups are served. Returns the final world and the other set-ups on the same connection.
 fn cut_word(cut: Cut, others: u64) -> (World, Vec<u64>, Vec<u64>) {
     let Cut { word, class, .. } = cut;
     let mut w = World::new(2);
@@ -88,7 +88,7 @@
     (w, ids(sharing), ids(beside))
 }
 
-/// The word's length on the wire.
+/// The encoded length of a message.
 fn length(word: Word) -> usize {
     let mut w = World::new(2);
     w.commanded(true);
@@ -99,20 +99,20 @@
     w.worded(at, word).len()
 }
 
-/// A word that breaks off, and the class of the set-up that it answers.
+/// A truncated message, and the class of the set-up that it answers.
 #[derive(Debug, Clone, Copy)]
 struct Cut {
     word: Word,
-    /// The word's length on the wire.
+    /// The encoded length of the message.
     length: usize,
-    /// How many bytes of it come at first.
+    /// The number of bytes that arrive at first.
     at: usize,
     then: Then,
     class: &'static str,
 }
 
 impl Cut {
-    /// Whether the word is there whole for the node to read.
+    /// Whether the node can read the whole message.
     fn whole(&self) -> bool {
         self.at == self.length || self.then == Then::Bytes
     }
@@ -123,7 +123,7 @@
     }
 }
 
-/// Plays each word cut at each byte, with all that may follow, for both classes.
+/// Runs each message truncated at each byte, with each continuation, for both classes.
 fn each_cut(play: impl Fn(Cut)) {
     for word in WORDS {
         let length = length(word);
@@ -145,7 +145,7 @@
         assert_eq!(w.broken_rules(), Vec::<String>::new(), "{cut:?}");
         let (_, served, refused) = w.answer(CUT).expect("an answer");
         assert!(!refused, "{cut:?}: there is room elsewhere");
-        // A free one is always served in the end; a paid one where nothing may have run before.
+        // A free set-up is always served in the end; a paid one if nothing may have been executed before.
         let sound = match word {
             Word::Answer(_) | Word::Refusal(453) => cut.whole(),
             Word::Note if cut.closes() => false,
@@ -164,7 +164,7 @@
 
 #[test]
 fn what_shares_a_connection_with_a_cut_word_is_answered_too() {
-    // Eight connections to two servers, three set-ups each or so.
+    // Eight connections to two servers, with about three set-ups each.
     each_cut(|cut| {
         let (w, sharing, beside) = cut_word(cut, 23);
         assert_eq!(w.broken_rules(), Vec::<String>::new(), "{cut:?}");
@@ -182,22 +182,22 @@
     });
 }
 
-/// What comes with a good answer beyond it.
+/// What arrives in addition to a valid answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum More {
-    /// The same again, so much later.
+    /// The same answer again, after this time.
     Copy(u64),
-    /// The same again once the session is over.
+    /// The same answer again after the end of the session.
     CopyAtEnd,
-    /// An answer under an unknown id in front.
+    /// An answer with an unknown id before it.
     Stranger,
-    /// Bytes that nobody can read, in the same piece.
+    /// Unreadable bytes in the same read.
     Noise,
-    /// Half a message, in the same piece; the rest never comes.
+    /// A partial message in the same read, whose rest never arrives.
     Half,
-    /// A whole message that concerns nobody, in the same piece.
+    /// A complete unrelated message in the same read.
     Foreign,
-    /// An answer to another set-up that is out on another connection.
+    /// An answer to another set-up that is in flight on another connection.
     Misplaced,
 }
 
@@ -249,7 +249,7 @@
             w.commanded(false);
             w.run(50 * MS);
             w.write_word(other, ANSWER);
-            // Further set-ups, at once and until well after half a message counts as the last.
+            // Further set-ups, at once and until well after the timeout of partial messages.
             for n in 0..12 {
                 w.ask(v, 100 + n, class, PATIENCE);
                 w.run(50 * MS);
@@ -270,7 +270,7 @@
     }
 }
 
-/// An answer under an id that nobody knows.
+/// An answer with an unknown id.
 fn foreign() -> Vec<u8> {
     micadyke_rtsp::Message::response(200, 1).session(0xdead).content(b"for somebody else").encode()
 }
@@ -286,7 +286,7 @@
         w.commanded(false);
         let at = w.open_at(CUT).expect("out");
         let answer = w.worded(at, ANSWER);
-        // Withdrawn for its time, and served by the other.
+        // Withdrawn when its time is up, and served by the other server.
         let mut waited = 0;
         while w.open_at(CUT) == Some(at) && waited < 4000 {
             w.run(MS);
@@ -302,7 +302,7 @@
         w.run(2 * SECOND);
         assert_eq!(w.broken_rules(), Vec::<String>::new());
         assert_eq!(w.words_to_viewers(CUT), [(kind::ANSWER, None)]);
-        assert_eq!(w.node.held(), (0, 1), "it plays on at the other server");
+        assert_eq!(w.node.session_counts(), (0, 1), "it plays on at the other server");
     }
 }
 
@@ -315,7 +315,7 @@
 
 #[test]
 fn a_set_up_in_single_bytes_is_answered_or_its_connection_is_closed_in_time() {
-    // Milliseconds between bytes, and what becomes of it where that is settled.
+    // Milliseconds between bytes, and the expected result if there is only one.
     let table = [
         (1, Some(true)),
         (3, Some(true)),
@@ -347,9 +347,9 @@
             let closed = w.closed.get(&v).copied();
             assert!(served != closed.is_some(), "{case}: either, and not both");
             assert_eq!(Some(served), answered, "{case}");
-            // Within 3 s of its connecting, as of any that sends half a request.
+            // Within 3 s of connecting, as for every partial request.
             assert!(closed.is_none_or(|at| at <= first + 1700 * MS), "{case}");
-            assert_eq!(w.node.held().0, 0, "{case}");
+            assert_eq!(w.node.session_counts().0, 0, "{case}");
         }
     }
 }
@@ -376,7 +376,7 @@
         assert_eq!(served, 20, "repeated: {repeated}");
         let told = w.told.get(&flood).map_or(&[][..], Vec::as_slice);
         match repeated {
-            // Two requests under one number: nothing is answered 'served' under it.
+            // Two requests with the same id: neither is answered as served.
             true => {
                 assert!(w.closed.contains_key(&flood));
                 assert!(told.iter().all(|m| m.1.kind != kind::ANSWER), "{told:?}");
@@ -392,16 +392,16 @@
             }
         }
         w.run(30 * SECOND);
-        assert_eq!(w.node.held(), (0, 0), "repeated: {repeated}");
+        assert_eq!(w.node.session_counts(), (0, 0), "repeated: {repeated}");
     }
 }
 
-/// The rules that were broken, where clients sent set-ups that the record does not name as asked.
+/// The broken rules when clients send set-ups that the record does not list as requested.
 fn broken_beside_strangers(w: &World) -> Vec<String> {
     w.broken_rules().into_iter().filter(|b| !b.contains("was sent by no viewer")).collect()
 }
 
-/// Two hundred clients connect at once, more than there is room for; each sends so many set-ups.
+/// Two hundred clients connect at once, more than the node accepts; each sends this many set-ups.
 fn crowd(w: &mut World, set_ups: u64) -> Vec<u64> {
     let crowd: Vec<u64> = (0..200).map(|_| w.viewer()).collect();
     for (c, conn) in crowd.iter().enumerate() {
@@ -415,7 +415,7 @@
 
 #[test]
 fn floods_from_many_and_silent_ones_by_the_hundred_leave_usual_viewers_their_time() {
-    // Set-ups of each, and how long after the crowd a usual viewer finds room for a new connection.
+    // Set-ups of each client, and after how long a well-behaved viewer gets a new connection.
     for (set_ups, room_after) in [(0, 0), (20, 1100 * MS)] {
         let mut w = World::new(2);
         let before = w.viewer();
@@ -423,7 +423,7 @@
         w.run(100 * MS);
         let came = w.now;
         let crowd = crowd(&mut w, set_ups);
-        // On a connection that was there before, all along.
+        // On a connection that existed before, during the whole flood.
         for n in 0..10 {
             w.ask(before, 10 + n, "paid", PATIENCE);
             w.run(100 * MS);
@@ -438,7 +438,7 @@
         }
         w.run(PATIENCE * MS);
         assert_eq!(broken_beside_strangers(&w), Vec::<String>::new(), "{set_ups}");
-        // Four thousand sound set-ups fill the servers, so that the module may refuse; it answers all the same.
+        // Four thousand valid set-ups fill the servers, so the module may refuse; all are answered nevertheless.
         let well = |id: &u64| w.answer(*id).is_some_and(|a| a.1 || set_ups > 0);
         let failed: Vec<u64> = (9..28).filter(|id| !well(id)).collect();
         assert!(failed.is_empty(), "{set_ups}: {failed:?}");
@@ -462,9 +462,9 @@
     assert!(w.answer(10).is_some(), "closed at {:?}", w.closed.get(&fresh).map(|at| (at - START) / MS));
 }
 
-// ----- the same number again
+// ----- repeated ids
 
-/// When the same number is asked for again.
+/// When the same id is requested again.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Again {
     Open,
@@ -512,7 +512,7 @@
         Again::Failed => w.write_word(at, Word::Release),
         Again::Refused => w.write_word(at, Word::Refusal(453)),
     }
-    // Whatever is tried again ends the same way, until the viewer has its word.
+    // Each repetition has the same result until the viewer has its answer.
     let mut waited = 0;
     while matches!(again, Again::Answered | Again::Failed | Again::Refused) && w.answer(CUT).is_none() {
         w.run(MS);
@@ -524,7 +524,7 @@
         }
     }
     w.run(after * MS);
-    // After its end it is a request like any other; before, only the first has an owner.
+    // After the end it is a new request; before, only the first request is valid.
     let ended = !matches!(again, Again::Open | Again::Answered);
     if ended {
         let (paid, floor) = (class == "paid", usize::from(class == "paid"));
@@ -543,7 +543,7 @@
     let told = w.words_to_viewers(CUT);
     match again {
         Again::Open if same_conn => {
-            // Nothing is answered under it.
+            // Nothing is answered under the id.
             assert!(
                 w.closed.contains_key(&owner) && told.iter().all(|t| t.0 != kind::ANSWER),
                 "{case} {told:?}"
@@ -555,12 +555,12 @@
             assert_eq!(told, [(kind::ANSWER, None)], "{case}");
             assert_eq!(broken, Vec::<String>::new(), "{case}");
             assert!(w.closed.contains_key(&second), "{case}");
-            assert_eq!(w.node.held(), (0, 1), "{case}");
+            assert_eq!(w.node.session_counts(), (0, 1), "{case}");
         }
         Again::Failed | Again::Refused | Again::GivenUp => {
             assert_eq!(broken, Vec::<String>::new(), "{case}");
             assert_eq!(told.len(), words + 1, "{case} {told:?}");
-            assert_eq!(w.node.held().0, 0, "{case}");
+            assert_eq!(w.node.session_counts().0, 0, "{case}");
         }
     }
 }
--- a/crates/node/tests/bus.rs
+++ b/crates/node/tests/bus.rs
@@ -1,6 +1,5 @@
-//! The event bus at the core, in virtual time: streams that stop, break, repeat, skip and move, and servers
-//! whose rows change under sessions and attempts. What may go to a draining server, and until when, is judged
-//! from the traffic.
+//! The event bus at the core, in virtual time: streams that stop, break, repeat, skip and move, and servers whose rows change
+//! during sessions and attempts. What may be sent to a draining server, and until when, is judged from the recorded traffic.
 
 mod world;
 
@@ -12,9 +11,9 @@
 use std::net::SocketAddr;
 use world::*;
 
-/// The drain grace of the settings here, as the verdict takes it.
+/// The drain grace of the settings, as used by the verdict.
 const GRACE: u64 = 250 * MS;
-/// Between two set-ups.
+/// Time between two set-ups.
 const EACH: u64 = 20 * MS;
 
 /// A node with two servers under steady traffic.
@@ -22,7 +21,7 @@
     w: World,
     viewer: u64,
     id: u64,
-    /// The server that the traffic goes to while it can.
+    /// The server that gets the traffic while it can.
     home: usize,
 }
 
@@ -38,7 +37,7 @@
         day
     }
 
-    /// Lets time go by, with a set-up each 20 ms and the bus's comments.
+    /// Advances time, with a set-up every 20 ms and the bus's comments.
     fn traffic(&mut self, span: u64) {
         for n in 0..span / EACH {
             if n % 25 == 0 {
@@ -50,7 +49,7 @@
         }
     }
 
-    /// The server that was sent the last set-up.
+    /// The server of the last set-up.
     fn last_sent(&self) -> Option<usize> {
         self.w.record.iter().rev().find_map(|(_, seen)| match seen {
             Seen::Sent { server, .. } => server[2..].parse().ok(),
@@ -58,25 +57,25 @@
         })
     }
 
-    /// The number of a server's next event that makes its home drain.
+    /// The number of the next event, which makes the home server drain.
     fn drain(&mut self, offset: u64) {
         self.w.bus(offset, false, &row(self.home, "draining", 0));
     }
 
-    /// Whether a server was sent a set-up after that.
+    /// Whether a server got a set-up after this time.
     fn sent_after(&self, at: u64, to: usize) -> bool {
         let to = format!("s-{to}");
         let sent = |seen: &Seen| matches!(seen, Seen::Sent { server, .. } if *server == to);
         self.w.record.iter().any(|(when, seen)| *when > at && sent(seen))
     }
 
-    /// Rules broken, where the drain of the home counts as told then.
+    /// The broken rules if the drain of the home server counts as delivered at this time.
     fn judged(&self, told: u64) -> Vec<String> {
         self.judged_of(self.w.record.clone(), told)
     }
 
-    /// The same where the home is removed: the node ends its sessions for their viewers before it ends them itself,
-    /// and owes no second word.
+    /// The same if the home server is removed. The node ends its sessions towards viewers before it ends them itself, and must
+    /// not send a second release.
     fn judged_removed(&self, told: u64) -> Vec<String> {
         let mut released = BTreeSet::new();
         let mut record: Record = self.w.record.clone();
@@ -97,18 +96,18 @@
         verdict(&record, self.w.now)
     }
 
-    /// When the bus was called after that.
+    /// When the node connected to the bus after this time.
     fn asked_after(&self, at: u64) -> Vec<u64> {
         self.w.bus_asked.iter().map(|a| a.0).filter(|a| *a > at).collect()
     }
 }
 
-/// How a drain comes to the bus while something is wrong with it.
+/// How a drain reaches the bus while the bus has a fault.
 struct Way {
     name: &'static str,
-    /// Makes it so, with the drain as an event.
+    /// Sets up the fault, with the drain as an event.
     play: fn(&mut Day),
-    /// When the drain counts as told, after the start.
+    /// When the drain counts as delivered, after the start.
     told: u64,
 }
 
@@ -120,12 +119,12 @@
     day.w.feed(Input::BusMoved { addr: addr(to) });
 }
 
-/// An event whose data breaks off.
+/// An event with truncated data.
 fn unreadable(offset: u64) -> Vec<u8> {
     format!("id: {offset}\ndata: {{\"offset\":{offset},\"topology\":{{\"servers\":[{{\"id\n\n").into_bytes()
 }
 
-/// An event of more than a mebibyte.
+/// An event of more than 1 MiB.
 fn endless(offset: u64) -> Vec<u8> {
     format!("id: {offset}\ndata: {{\"offset\":{offset},\"x\":\"{}\"}}\n\n", "y".repeat(1 << 20)).into_bytes()
 }
@@ -185,7 +184,7 @@
             d.drain(2);
             d.w.later(1700 * MS, |w| w.bus_up = true);
         },
-        // Nobody could hear it before; the pause between calls is on top.
+        // It could not be received before; the pause between calls is added.
         told: 1700 * MS,
     },
     Way {
@@ -201,7 +200,7 @@
     Way {
         name: "out of order",
         play: |d| {
-            // The stream has 3 before 2; asked again, it tells both in order.
+            // The stream has event 3 before 2; requested again, it delivers both in order.
             let home = d.home;
             d.w.bus_bytes(&bus_event(3, false, &row(home, "draining", 0)));
             d.w.bus(2, false, &row(home, "up", 0));
@@ -229,7 +228,7 @@
     Way {
         name: "removed and up again in one event, and then it drains",
         play: |d| {
-            // Its connections are idle and closed by then, so that it is forgotten at once.
+            // Its connections are idle and closed by then, so it is forgotten at once.
             let rows = format!("{},{}", row(1 - d.home, "up", 0), row(d.home, "removed", 0));
             d.w.run(12 * SECOND);
             d.w.bus(2, false, &format!("{rows},{}", row(d.home, "up", 0)));
@@ -328,7 +327,7 @@
         play(&mut day);
         day.traffic(8 * SECOND);
         assert_eq!(day.judged(start + told + MS), Vec::<String>::new(), "{name}");
-        // Nor is the other one taken for drained, or the whole list for empty.
+        // The other server is not taken for draining, nor the whole list for empty.
         assert_eq!(day.last_sent(), Some(1 - day.home), "{name}");
         let stood = day.w.node.counts();
         assert_eq!((stood.refused, stood.failed), (0, 0), "{name}");
@@ -354,7 +353,7 @@
     assert!(day.judged(start).iter().any(|b| b.contains("sent to a server that drains")));
 }
 
-/// What a bus does again and again, and how often it may be called within 20 s for it.
+/// A repeated fault of the bus, and how many calls are allowed within 20 s.
 #[test]
 fn no_bus_makes_a_node_call_without_a_pause() {
     type Trouble = fn(&mut Day);
@@ -365,7 +364,7 @@
         (
             "streams that say one word and close",
             |d| {
-                // The word arrives after 1 ms, before the close.
+                // The data arrives after 1 ms, before the close.
                 for n in 0..5_000 {
                     d.w.later(4 * n * MS, |w| {
                         w.bus_comment();
@@ -428,8 +427,8 @@
 
 #[test]
 fn a_bus_that_begins_anew_is_followed_without_calls_beyond_its_own_pace() {
-    // Its numbers begin with 1 again, which the protocol rules out: they are taken for old news until they
-    // pass the number held, nothing is called for it, and service goes on by the list held.
+    // Its numbers restart at 1, which the protocol excludes. They count as old until they pass the last known number; no call is
+    // made for them, and service continues with the current list.
     let mut day = Day::new();
     for offset in 2..9 {
         day.w.bus(offset, false, "");
@@ -444,7 +443,7 @@
     day.traffic(SECOND);
     assert_eq!(day.w.bus_asked.len(), calls);
     assert!(day.sent_after(later, day.home), "old news of a drain was taken");
-    // The first that is past it counts again.
+    // The first event after that number is applied again.
     day.w.bus(9, false, &row(day.home, "draining", 0));
     let start = day.w.now;
     day.traffic(SECOND);
@@ -456,16 +455,16 @@
 
 #[test]
 fn pauses_of_the_bus_grow_and_end_at_half_of_the_drain_grace() {
-    let most = limits::bus::longest_pause(2 * SECOND);
-    assert_eq!(limits::bus::pause(0, most, 1.0), 0);
-    assert!(limits::bus::pause(1, most, 0.0) < limits::bus::pause(2, most, 0.0));
-    assert!(limits::bus::pause(1, most, 0.0) < limits::bus::pause(1, most, 1.0));
-    // (the grace that the settings state, the longest pause)
+    let most = limits::bus::max_retry_pause(2 * SECOND);
+    assert_eq!(limits::bus::retry_pause(0, most, 1.0), 0);
+    assert!(limits::bus::retry_pause(1, most, 0.0) < limits::bus::retry_pause(2, most, 0.0));
+    assert!(limits::bus::retry_pause(1, most, 0.0) < limits::bus::retry_pause(1, most, 1.0));
+    // The grace in the settings and the maximum pause.
     for (grace, most) in [(0, 500), (1, 25), (250, 125), (400, 200), (2000, 500)] {
-        let longest = limits::bus::longest_pause(grace * MS);
+        let longest = limits::bus::max_retry_pause(grace * MS);
         assert_eq!(longest, most * MS, "{grace}");
-        assert_eq!(limits::bus::pause(99, longest, 1.0), longest);
-        assert_eq!(limits::bus::pause(u32::MAX, longest, 7.0), longest);
+        assert_eq!(limits::bus::retry_pause(99, longest, 1.0), longest);
+        assert_eq!(limits::bus::retry_pause(u32::MAX, longest, 7.0), longest);
     }
 }
 
@@ -482,37 +481,37 @@
     day.w.run(10 * SECOND);
     let asked = day.asked_after(start);
     let pauses: BTreeSet<u64> = asked.windows(2).map(|a| (a[1] - a[0]) / MS).collect();
-    // By lot, and each with the millisecond that the refusal takes.
+    // With jitter, and with the millisecond that each refusal takes.
     assert!(pauses.len() > 15 && pauses.last() <= Some(&126), "{pauses:?}");
 }
 
-/// The drain grace in a configuration's settings.
+/// The settings of a configuration with this drain grace.
 fn micadyke_settings_terms(settings: &str) -> u64 {
     let text = format!(
         r#"{{"name":"n0","listen":"127.0.0.1:1","seed":"1","limits":{{"sockets":256}},"bus":"127.0.0.1:2","settings":{settings}}}"#
     );
-    micadyke_node::config::read(&text).expect("it is sound").deployment.connections.drain_grace
+    micadyke_node::config::from_json(&text).expect("it is sound").deployment.connections.drain_grace
 }
 
 #[test]
 fn a_bus_that_is_slow_to_answer_is_heard_in_the_end() {
-    // (from a call to its stream, calls until it is heard)
+    // Time from the call to the stream, and the number of calls until it opens.
     for (answers, calls) in [(500 * MS, 1), (1500 * MS, 2), (3 * SECOND, 3), (7 * SECOND, 4)] {
         let mut follower = Follower::new(addr(2), 1, 125 * MS, START);
         let (mut now, mut asked, mut opens) = (START, 0, None);
         while !follower.is_open() && now < START + 60 * SECOND {
-            match follower.step(now) {
-                Step::Ask => {
+            match follower.next_step(now) {
+                Step::Connect => {
                     asked += 1;
-                    follower.asked(ConnId(asked), now);
+                    follower.connecting(ConnId(asked), now);
                     opens = Some(now + answers);
                 }
-                Step::Drop(_) => {
+                Step::Close(_) => {
                     follower.closed(now, 1.0);
                     opens = None;
                 }
-                Step::Wait if opens == Some(now) => follower.opened(now),
-                Step::Wait => now = follower.due().min(opens.unwrap_or(u64::MAX)),
+                Step::Wait if opens == Some(now) => follower.stream_opened(now),
+                Step::Wait => now = follower.wake_at().min(opens.unwrap_or(u64::MAX)),
             }
         }
         assert!(follower.is_open(), "{answers}");
@@ -525,13 +524,13 @@
     let mut follower = Follower::new(addr(2), 1, 125 * MS, START);
     let mut now = START;
     for n in 0..50 {
-        now = follower.due();
-        follower.asked(ConnId(n), now);
+        now = follower.wake_at();
+        follower.connecting(ConnId(n), now);
         follower.closed(now, 1.0);
     }
-    now = follower.due().max(now);
-    follower.asked(ConnId(99), now);
-    assert_eq!(follower.due(), now + SECOND);
+    now = follower.wake_at().max(now);
+    follower.connecting(ConnId(99), now);
+    assert_eq!(follower.wake_at(), now + SECOND);
 }
 
 #[test]
@@ -539,10 +538,10 @@
     let mut follower = Follower::new(addr(2), 1, 125 * MS, START);
     let (gap, mut out) = (bus_event(3, false, ""), Vec::new());
     for n in [2, 3] {
-        follower.moved(addr(n), START);
-        follower.asked(ConnId(n.into()), START);
-        follower.opened(START);
-        // Asked for once more, at the old one and at the new one.
+        follower.set_addr(addr(n), START);
+        follower.connecting(ConnId(n.into()), START);
+        follower.stream_opened(START);
+        // Requested again at the old address and at the new one.
         assert!(!follower.feed(&gap, START, &mut out), "{n}");
         follower.closed(START, 1.0);
     }
@@ -551,7 +550,7 @@
 
 // ----- rows of servers
 
-/// A row of this id at the address of another number.
+/// A row with this id at the address of another server.
 fn row_at(id: usize, n: usize, state: &str, started_ms: u64) -> String {
     row(id, state, started_ms).replace(&server_addr(id).to_string(), &server_addr(n).to_string())
 }
@@ -592,7 +591,7 @@
     day.w.bus(4, false, &rows);
     day.traffic(2 * SECOND);
     assert_eq!(day.last_sent(), Some(home));
-    // And drains once more.
+    // And it drains again.
     day.w.record.retain(|(at, _)| *at >= again);
     day.w.bus(5, false, &format!("{},{}", row(home, "draining", 0), row(1 - home, "up", 0)));
     let start = day.w.now;
@@ -601,11 +600,11 @@
     assert_eq!(day.last_sent(), Some(1 - home));
 }
 
-/// A machine goes with sessions and attempts on it, and a new server bears its address: the sessions are over
-/// for their viewers within 8 s and a second, and nothing for the old server arrives at the new one.
+/// A machine vanishes with sessions and attempts, and a new server gets its address. Viewers must learn of the end of their
+/// sessions within 8 s plus 1 s, and nothing meant for the old server may reach the new one.
 #[test]
 fn an_address_that_another_server_bears_ends_what_played_at_the_old_one() {
-    // What the list says of the old one before the new one comes.
+    // The list's row for the old server before the new one appears.
     for before in ["draining", "removed"] {
         let mut day = Day::new();
         let (home, new) = (day.home, 7);
@@ -614,13 +613,13 @@
         day.w.run(50 * MS);
         let standing: Vec<u64> = day.w.servers[&at].standing().collect();
         assert!(!standing.is_empty());
-        // Its process dies, and the other one's listens there.
+        // Its process ends, and that of the other server listens there.
         day.w.servers.insert(at, MediaServer::new("s-7", 20 * MS, Treat::Serve(5 * SECOND)));
         day.w.reset(at);
         let died = day.w.now;
         let rows = format!("{},{}", row_at(new, home, "up", 0), row(1 - home, "draining", 0));
         day.w.bus(3, false, &rows);
-        // Longer than the settings let one be without a word, with traffic only for the new one.
+        // Longer than the settings allow a server to be silent, with traffic to the new one only.
         day.traffic(9 * SECOND);
         let told: BTreeSet<u64> = day.w.told[&day.viewer]
             .iter()
@@ -645,7 +644,7 @@
     assert_eq!(releases.count(), 0);
     let stand: BTreeSet<u64> = day.w.servers[&server_addr(home)].standing().collect();
     assert!(stand.is_superset(&standing), "{standing:?} {stand:?}");
-    // Once the other has gone it alone is left.
+    // After the other server has gone, only this one is left.
     let rows = format!("{},{}", row_at(7, home, "removed", 0), row(1 - home, "draining", 0));
     day.w.bus(3, false, &rows);
     day.traffic(100 * MS);
@@ -661,7 +660,7 @@
     day.w.servers.insert(server_addr(anew), MediaServer::new("s-5", 20 * MS, Treat::Serve(5 * SECOND)));
     day.w.bus(2, false, &row(1 - home, "draining", 0));
     day.w.run(100 * MS);
-    // Its machine vanishes: calls of it hang.
+    // Its machine vanishes: connection attempts hang.
     day.w.vanished.insert(server_addr(home));
     day.w.reset(server_addr(home));
     day.w.run(5 * MS);
@@ -674,6 +673,6 @@
     day.w.bus(3, false, &row_at(home, anew, "up", 0));
     day.w.run(SECOND);
     assert!(answered(&day).is_some());
-    // It never left: a failure would say that it may have run.
+    // It was never sent: a failure would mean that it may have been executed.
     assert_eq!(day.w.node.counts().failed, 0);
 }
--- a/crates/node/tests/choosing.rs
+++ b/crates/node/tests/choosing.rs
@@ -1,5 +1,5 @@
-//! Working subsets and turns, by the cores of several nodes in virtual time: what is preferred, who looks at a silent
-//! server, and that no rule goes by either.
+//! Working subsets and probe turns across the cores of several nodes in virtual time: which servers are preferred, who probes a
+//! silent server, and that no rule depends on either.
 
 mod world;
 
@@ -11,16 +11,16 @@
 use std::collections::BTreeSet;
 use world::*;
 
-/// A set-up each 20 ms is asked of each node in turn.
+/// Interval of set-ups, which go to the nodes in rotation.
 const ASK: u64 = 20 * MS;
-/// News travels for so long.
+/// Delay of reports between nodes.
 const NEWS: u64 = 60 * MS;
 
 fn read(text: &str) -> SubsetSettings {
     terms(text, "n.sexp").expect("sound settings").unwrap_or_default()
 }
 
-/// Nodes that hear each other's news, each before its own copy of the same servers.
+/// Nodes that receive each other's reports, each with its own copy of the same servers.
 struct Nodes {
     worlds: Vec<World>,
     viewers: Vec<u64>,
@@ -28,7 +28,7 @@
 }
 
 impl Nodes {
-    /// `names` live, this many of them here, the others are gone but still in the view.
+    /// `names` are in the view; this many of them run here, the others are gone.
     fn new(names: usize, here: usize, servers: usize, terms: Option<&SubsetSettings>) -> Self {
         let worlds = (0..here).map(|n| {
             let mut config = config(servers, 256);
@@ -37,9 +37,9 @@
                 (names as u32, 20 * SECOND);
             let mut w = World::with(config, servers, None);
             w.servers.values_mut().for_each(|s| s.usual = Treat::Serve(300 * MS));
-            w.node.has_others();
+            w.node.enable_peers();
             if let Some(terms) = terms {
-                w.node.chooses(&name(n), terms.clone());
+                w.node.coordinate(&name(n), terms.clone());
             }
             w
         });
@@ -52,9 +52,9 @@
         Nodes { worlds, viewers, id: 0 }
     }
 
-    /// Lets time go by; `each` set-ups a turn are asked of each node; news is handed on where `talks`.
+    /// Advances time. `each` set-ups per step go to each node; reports are forwarded where `talks`.
     fn run(&mut self, span: u64, each: usize, talks: bool) {
-        let mut told: Vec<usize> = self.worlds.iter().map(|w| w.news.len()).collect();
+        let mut told: Vec<usize> = self.worlds.iter().map(|w| w.reports.len()).collect();
         for turn in 0..span / ASK {
             for (w, v) in self.worlds.iter_mut().zip(&self.viewers) {
                 for _ in 0..each {
@@ -66,11 +66,11 @@
             if turn % (NEWS / ASK) != 0 || !talks {
                 continue;
             }
-            let news: Vec<_> = self.worlds.iter().map(|w| w.news.clone()).collect();
+            let news: Vec<_> = self.worlds.iter().map(|w| w.reports.clone()).collect();
             for (from, all) in news.iter().enumerate() {
                 for one in &all[told[from]..] {
                     let others = self.worlds.iter_mut().enumerate().filter(|w| w.0 != from);
-                    others.for_each(|(_, w)| w.feed(Input::Heard(one)));
+                    others.for_each(|(_, w)| w.feed(Input::ServerReport(one)));
                 }
                 told[from] = all.len();
             }
@@ -81,7 +81,7 @@
         self.worlds.iter_mut().for_each(what);
     }
 
-    /// When this server was called since then, by node.
+    /// When this server was probed after this time, by node.
     fn calls(&self, server: usize, since: u64) -> Vec<(u64, usize)> {
         let of = |(n, w): (usize, &World)| {
             let calls = w.calls.iter().filter(|c| c.0 >= since && c.1 == server_addr(server));
@@ -92,7 +92,7 @@
         calls
     }
 
-    /// Set-ups that reached this server since then: when, and by which node.
+    /// Set-ups that reached this server after this time: when, and from which node.
     fn sends(&self, server: usize, since: u64) -> Vec<(u64, usize)> {
         let name = format!("s-{server}");
         let there = |s: &Seen| matches!(s, Seen::Sent { server, .. } if *server == name);
@@ -114,14 +114,14 @@
     format!("n{n:02}")
 }
 
-/// A node sees the first so many names, and its view settles.
+/// A node's view gets the first so many names and settles.
 fn see(w: &mut World, names: usize) {
-    (0..names).for_each(|n| w.feed(Input::Fleet(&Fact::Alive(name(n), 1))));
-    w.feed(Input::Fleet(&Fact::ViewSettled(true)));
+    (0..names).for_each(|n| w.feed(Input::Membership(&Fact::Alive(name(n), 1))));
+    w.feed(Input::Membership(&Fact::ViewSettled(true)));
 }
 
 fn inside(w: &World) -> BTreeSet<u32> {
-    w.node.preferred().into_iter().map(|s| s.0).collect()
+    w.node.preferred_servers().into_iter().map(|s| s.0).collect()
 }
 
 #[test]
@@ -134,15 +134,15 @@
         n.worlds[0].bus(2, false, &row(4, "up", START / MS + 1000));
         n.run(2 * SECOND, 2, false);
         let w = &n.worlds[0];
-        (format!("{:?}", w.record), format!("{:?}", w.calls), w.node.counts(), w.node.books())
+        (format!("{:?}", w.record), format!("{:?}", w.calls), w.node.counts(), w.node.table_sizes())
     };
-    // All that crossed, with its times, the settings of the module being the same.
+    // All traffic with its times; the settings of the module are the same.
     for names in [1, 8] {
         let plain = play(None, names);
         assert!(plain.0.len() > 10_000, "set-ups were played");
         assert!(plain == play(Some("(subset)"), names), "{names} nodes");
     }
-    // Alone it works with all.
+    // A single node uses all servers.
     assert!(play(None, 1) == play(Some("(subset (working (least 2)))"), 1));
     assert!(
         play(None, 8) != play(Some("(subset (working (least 2)))"), 8),
@@ -154,7 +154,7 @@
 fn subsets_follow_the_settled_view_and_the_list_and_widen_when_short() {
     let text = "(subset (working (least 4) (held-by 1) (rate 1) (burst 2) (hold 2s)))";
     let mut n = Nodes::new(8, 8, 24, Some(&read(text)));
-    // What the package says, of the same names.
+    // The result of the package for the same names.
     let nodes: Vec<_> = (0..8).map(|n| read(text).node(&name(n))).collect();
     let server = |s| micadyke_subset::Server { id: format!("s-{s}"), zone: "z".into(), weight: 1.0 };
     let servers: Vec<_> = (0..24).map(server).collect();
@@ -165,26 +165,26 @@
     }
     let first = inside(&n.worlds[0]);
     assert!(first.len() < 12);
-    // Set-ups go there, and nowhere else.
+    // Set-ups go to these servers only.
     let since = n.worlds[0].now;
     n.run(2 * SECOND, 1, false);
-    // Numbers go by the order of ids.
+    // Server numbers are assigned in the order of ids.
     let mut ids: Vec<String> = (0..24).map(|s| format!("s-{s}")).collect();
     ids.sort();
     let number = |s: usize| ids.binary_search(&format!("s-{s}")).expect("listed") as u32 + 1;
     let used: BTreeSet<u32> =
         (0..24).filter(|s| n.sends(*s, since).iter().any(|x| x.1 == 0)).map(number).collect();
     assert!(used.is_subset(&first) && !used.is_empty(), "{used:?} {first:?}");
-    // A view that has not settled changes nothing, one that has does.
+    // An unsettled view changes nothing, a settled one does.
     let w = &mut n.worlds[0];
-    (1..8).for_each(|k| w.feed(Input::Fleet(&Fact::Gone(name(k)))));
-    w.feed(Input::Fleet(&Fact::ViewSettled(false)));
+    (1..8).for_each(|k| w.feed(Input::Membership(&Fact::Gone(name(k)))));
+    w.feed(Input::Membership(&Fact::ViewSettled(false)));
     w.run(5 * SECOND);
     assert_eq!(inside(w), first);
-    w.feed(Input::Fleet(&Fact::ViewSettled(true)));
+    w.feed(Input::Membership(&Fact::ViewSettled(true)));
     w.run(5 * SECOND);
     assert_eq!(inside(w).len(), 24, "alone it uses all");
-    // All of a subset drains, vanishes, is cold, is full: it widens at its rate, and comes back.
+    // All of a subset drains, vanishes, is cold or is full: it widens at its rate and shrinks again.
     for how in 0..4 {
         let mut n = Nodes::new(8, 1, 24, Some(&read(text)));
         let w = &mut n.worlds[0];
@@ -210,7 +210,7 @@
         }
         let most = sizes.iter().max().copied().unwrap_or(0);
         assert!(most >= 2, "{how}: {sizes:?}");
-        // Two at once, one a second: in 0.3 s no more than that, with the redraw that a list brings.
+        // Two at once, one per second: no more than that in 0.3 s, with the recomputation that a list causes.
         assert!(sizes.windows(4).all(|s| s[3] <= s[0] + 4), "{how}: {sizes:?}");
         let served = (1000..1900).filter(|id| w.answer(*id).is_some_and(|a| a.1)).count();
         assert!(served > 850, "{how}: {served} of 900");
@@ -220,7 +220,7 @@
 
 #[test]
 fn one_looks_at_a_silent_server_is_stood_in_for_and_its_return_is_told() {
-    // (nodes in the view, of them here, turns, calls in 16 s, s until all call it in reach again)
+    // Nodes in the view, nodes running here, whether turns are enabled, calls in 16 s, seconds until all find it reachable.
     for (names, here, on, calls, known) in
         [(6, 6, true, 3..=8, 5), (6, 6, false, 12..=200, 5), (6, 2, true, 3..=8, 9), (1, 1, true, 3..=5, 5)]
     {
@@ -228,7 +228,7 @@
         let mut n = Nodes::new(names, here, 3, Some(&read(text)));
         n.run(2 * SECOND, 1, true);
         n.each(|w| w.vanished.extend([server_addr(0)]));
-        // Sessions there are over, and each has learned of it in its way.
+        // The sessions there are over, and each node has detected it by itself.
         n.run(8 * SECOND, 1, true);
         let from = n.worlds[0].now;
         n.run(16 * SECOND, 1, true);
@@ -251,7 +251,7 @@
         (0..6).map(|s| ServerReport::Found { server: format!("s-{s}"), what: Finding::Silent }).collect();
     let since = n.worlds[0].now;
     for _ in 0..10 {
-        lies.iter().for_each(|l| n.worlds[0].feed(Input::Heard(l)));
+        lies.iter().for_each(|l| n.worlds[0].feed(Input::ServerReport(l)));
         n.run(SECOND, 1, false);
     }
     let used = (0..6).filter(|s| !n.sends(*s, since).is_empty()).count();
@@ -262,8 +262,8 @@
     n.kept();
 }
 
-/// Set-ups that a cold server was sent in any one window at most, over its budget (rule 4). The window is shorter by what a
-/// call takes: set-ups count from when they were decided, and the first wait for the connection.
+/// The maximum set-ups beyond its budget that a cold server got in one window (rule 4). The window is shortened by the time of
+/// a connection attempt: set-ups count from their decision, and the first ones wait for the connection.
 fn worst_window(n: &Nodes, server: usize, since: u64) -> f64 {
     let s = config(1, 256).deployment.settings;
     let places = f64::from(s.streams_by_kind[0]);
@@ -276,14 +276,16 @@
 
 #[test]
 fn a_cold_budget_is_all_fronts_and_not_one_for_each_subset() {
-    // Ten nodes and two servers, each held by some of them; both start anew, and a crowd comes.
+    // Ten nodes and two servers, each preferred by some nodes; both restart under heavy load.
     let play = |text: &str, how: &str| {
         let mut n = Nodes::new(10, 10, 2, Some(&read(text)));
         let at = n.worlds[0].now;
         n.each(|w| (0..2).for_each(|s| w.bus(2 + s as u64, false, &row(s, "up", at / MS))));
         if how == "a whole budget for each subset" {
-            // As if only the nodes of one subset sent there: about half of them.
-            n.each(|w| w.feed(Input::Part { always: 1.0 / 2.0, leased: 0.0, span: 0 }));
+            // As if only the nodes of one subset, about half, sent there.
+            n.each(|w| {
+                w.feed(Input::ColdBudgetShare { guaranteed: 1.0 / 2.0, leased: 0.0, lease_duration: 0 })
+            });
         }
         n.run(4 * SECOND, 1, true);
         worst_window(&n, 0, at).max(worst_window(&n, 1, at))
@@ -305,7 +307,7 @@
     let mut n = Nodes::new(6, 6, 3, Some(&read("(subset (turns))")));
     n.run(SECOND, 1, true);
     n.each(|w| w.vanished.extend([server_addr(0)]));
-    // Longer than a server is cold for: what is known of its fall is old by now.
+    // Longer than a server is cold, so the knowledge of its failure is outdated.
     n.run(40 * SECOND, 1, true);
     let back = n.worlds[0].now;
     n.each(|w| w.back(server_addr(0)));
