--- a/crates/node/tests/core.rs
+++ b/crates/node/tests/core.rs
@@ -1,4 +1,4 @@
-//! The node's core in virtual time: set-ups, servers and connections that fail, the bus, the door, the end.
+//! The node's core in virtual time: set-ups, failures of servers and connections, the bus, admission, and stopping.
 
 mod world;
 
@@ -20,16 +20,16 @@
     w.ask(v, 7, "free", 4000);
     w.run(SECOND);
     assert!(w.answer(7).is_some_and(|a| a.1 && a.0 < START + 100 * MS), "{:?}", w.record);
-    assert_eq!(w.node.held(), (0, 1));
+    assert_eq!(w.node.session_counts(), (0, 1));
     w.run(6 * SECOND);
     assert_eq!(w.told[&v].last().map(|m| (m.1.kind, m.1.cause_value())), Some((kind::RELEASE, Some(16))));
-    assert_eq!(w.node.held(), (0, 0));
+    assert_eq!(w.node.session_counts(), (0, 0));
     kept(&w);
 }
 
 #[test]
 fn whatever_a_server_does_with_a_set_up_it_is_answered_once_and_truthfully() {
-    // What the first server does; whether a free set-up plays in the end, and whether a paid one may (else it fails).
+    // The first server's behaviour; whether a free set-up is served in the end, and whether a paid one may be (otherwise it fails).
     let table = [
         (Treat::Status(453), true, true),
         (Treat::Status(454), true, true),
@@ -49,7 +49,7 @@
             let mut w = World::new(3);
             w.servers.values_mut().for_each(|s| s.next.push_back(treat));
             let v = w.viewer();
-            // Only the first attempt is treated so: the others find servers that serve.
+            // Only the first attempt is affected; the others find working servers.
             w.ask(v, 7, class, 4000);
             w.run(30 * MS);
             w.servers.values_mut().for_each(|s| s.next.clear());
@@ -59,15 +59,15 @@
             assert_eq!((served, refused), (plays, false), "{treat:?} {class}: {:?}", w.record);
             assert_eq!(w.sends(7), if class == "paid" && !plays { 1 } else { w.sends(7) }, "{treat:?}");
             kept(&w);
-            // What is over or failed left nothing behind.
+            // Sessions that ended or failed leave no state behind.
             w.run(30 * SECOND);
-            assert_eq!(w.node.held(), (0, 0), "{treat:?} {class}");
+            assert_eq!(w.node.session_counts(), (0, 0), "{treat:?} {class}");
         }
     }
 }
 
-/// Seen on a zone day of the fleet trial: answer and release (cause 31) in one read, 0.25 ms apart. No word that follows the
-/// answer, or takes its place, counts towards a viewer that has left; so none is sent.
+/// Found on a zone day of the fleet trial: answer and release (cause 31) arrive in one read, 0.25 ms apart. Messages that
+/// follow the answer or replace it don't count for a viewer that has left, so none is sent.
 #[test]
 fn a_viewer_that_leaves_is_told_its_answer_and_nothing_else() {
     for played in [0, 5 * MS, SECOND] {
@@ -78,7 +78,7 @@
         w.run(3 * SECOND);
         let words: Vec<_> = w.told[&v].iter().map(|m| (m.1.kind, m.1.cause_value())).collect();
         assert_eq!(words, [(kind::ANSWER, None)], "{played}");
-        assert_eq!((w.sends(7), w.node.held()), (1, (0, 0)), "{played}");
+        assert_eq!((w.sends(7), w.node.session_counts()), (1, (0, 0)), "{played}");
         kept(&w);
     }
 }
@@ -87,7 +87,7 @@
 fn a_spoilt_answer_ends_what_shares_its_connection_and_a_fresh_one_is_used() {
     let mut w = World::new(1);
     let v = w.viewer();
-    // Eight set-ups at once: four connections, two on each.
+    // Eight set-ups at once: four connections with two each.
     let server = w.servers.get_mut(&server_addr(0)).unwrap();
     server.next.push_back(Treat::Noise);
     (0..8).for_each(|i| w.ask(v, 100 + i, "paid", 4000));
@@ -106,40 +106,40 @@
     let v = w.viewer();
     w.ask(v, 6, "free", 4000);
     w.run(SECOND);
-    assert_eq!(w.booked, [], "nobody is told where there is no directory");
+    assert_eq!(w.indexed, [], "nobody is told where there is no directory");
     w.run(6 * SECOND);
-    w.node.has_directory();
+    w.node.enable_directory();
     w.ask(v, 7, "free", 4000);
     w.run(SECOND);
     let (title, viewer) = ("7f3a9c21e0b4d655", "00000000b4d65521");
     let session = Session::new(title, viewer, "s-0");
-    assert_eq!(w.booked, [(session.clone(), true)]);
-    w.feed(Input::End(&Key::Title("another".into())));
-    assert_eq!((w.left.last().map(|l| l.1), w.node.held()), (Some(0), (0, 1)));
-    // One stands, one is being set up.
+    assert_eq!(w.indexed, [(session.clone(), true)]);
+    w.feed(Input::EndSessions(&Key::Title("another".into())));
+    assert_eq!((w.sessions_left.last().map(|l| l.1), w.node.session_counts()), (Some(0), (0, 1)));
+    // One session is playing, one is being set up.
     w.ask(v, 8, "free", 4000);
     w.run(MS);
     let what = Key::Title(title.into());
-    w.feed(Input::End(&what));
-    assert_eq!(w.left.last(), Some(&(what.clone(), 2)));
-    assert_eq!(w.booked.last(), Some(&(session, false)));
+    w.feed(Input::EndSessions(&what));
+    assert_eq!(w.sessions_left.last(), Some(&(what.clone(), 2)));
+    assert_eq!(w.indexed.last(), Some(&(session, false)));
     w.run(SECOND);
     let heard = w.told[&v].iter().filter(|m| m.1.session == 7 && m.1.kind == kind::RELEASE);
     assert_eq!(heard.map(|m| m.1.cause_value()).collect::<Vec<_>>(), [Some(16)]);
-    // The other stands by now. Its server does not confirm while nothing gets through.
+    // The other is playing by now. Its server does not confirm while nothing gets through.
     w.vanished.insert(server_addr(0));
     let what = Key::Viewer(viewer.into());
-    w.feed(Input::End(&what));
+    w.feed(Input::EndSessions(&what));
     w.run(100 * MS);
-    w.feed(Input::End(&what));
-    assert_eq!(w.left.last(), Some(&(what.clone(), 1)));
+    w.feed(Input::EndSessions(&what));
+    assert_eq!(w.sessions_left.last(), Some(&(what.clone(), 1)));
     let addr = server_addr(0);
     w.back(addr);
     w.run(3 * SECOND);
-    w.feed(Input::End(&what));
+    w.feed(Input::EndSessions(&what));
     w.run(SECOND);
-    w.feed(Input::End(&what));
-    assert_eq!((w.left.last(), w.node.held()), (Some(&(what, 0)), (0, 0)));
+    w.feed(Input::EndSessions(&what));
+    assert_eq!((w.sessions_left.last(), w.node.session_counts()), (Some(&(what, 0)), (0, 0)));
 }
 
 #[test]
@@ -156,7 +156,7 @@
     w.run(5 * SECOND);
     let withdrawn = w.record.iter().filter(|r| matches!(r.1, Seen::Withdrawn { .. })).count();
     assert_eq!(
-        (withdrawn, w.answer(7), w.answer(8), w.node.held()),
+        (withdrawn, w.answer(7), w.answer(8), w.node.session_counts()),
         (2, None, None, (0, 0)),
         "{:?}",
         w.record
@@ -176,7 +176,7 @@
     w.drain(2, 0);
     w.drain(3, 1);
     w.run(10 * MS);
-    // Both hear of it before a connection came up: nothing ran, so that the paid set-up is refused, at once.
+    // Both learn of it before a connection was established: nothing was executed, so the paid set-up is refused at once.
     assert!(w.answer(7).is_some_and(|a| a.2 && a.0 < w.now), "{:?}", w.record);
     w.vanished.clear();
     w.run(SECOND);
@@ -202,9 +202,9 @@
     w.send(v, at(7, "s-1"));
     w.send(v, at(8, "s-99"));
     w.run(100 * MS);
-    // No answer for what is held; word at once of what can't be.
+    // No answer for known sessions; a release at once for those that can't be taken over.
     let told: Vec<u64> = w.told[&v].iter().map(|m| m.1.session).collect();
-    assert_eq!((told, w.node.held(), w.links_to(server_addr(1))), (vec![8], (0, 1), 1));
+    assert_eq!((told, w.node.session_counts(), w.links_to(server_addr(1))), (vec![8], (0, 1), 1));
     w.hang_up(v);
     w.ask(other, 9, "free", 4000);
     w.run(3 * SECOND);
@@ -221,7 +221,7 @@
     w.ask(usual, 8, "free", 4000);
     w.run(SECOND);
     w.hang_up(gone);
-    // The latest to send: set-ups that are withdrawn at once, none of which ever stands.
+    // The most recent sender: set-ups that are withdrawn at once and never play.
     w.run(1500 * MS);
     let flood = w.viewer();
     for id in 100..150 {
@@ -255,7 +255,7 @@
     w.run(SECOND);
     w.give_up(other, 7);
     w.run(SECOND);
-    assert_eq!((w.node.held(), w.servers[&server_addr(0)].standing().count()), ((0, 0), 0));
+    assert_eq!((w.node.session_counts(), w.servers[&server_addr(0)].standing().count()), ((0, 0), 0));
     assert!(w.told[&v].iter().all(|m| m.1.kind == kind::ANSWER), "nothing is owed any more: {:?}", w.told);
     kept(&w);
 }
@@ -267,7 +267,7 @@
         m.with("X-Note", kind).with("Figure", figure).encode()
     };
     let answer = |id: u64| micadyke_rtsp::Message::response(200, 1).session(id).content(b"d").encode();
-    // What comes in one read, and what the module is told of it.
+    // What arrives in one read, and the resulting events for the module.
     let note = |kind, value| format!("Note {kind:?} {value}");
     use micadyke::interface::ReportKind::{LinkUse, UplinkUse};
     let table = [
@@ -282,7 +282,7 @@
     for (messages, told) in table {
         let (mut node, link) = heard::node();
         let bytes: Vec<u8> = messages.concat();
-        // All at once, and byte by byte.
+        // In one read, and byte by byte.
         for part in [bytes.len(), 1] {
             let (mut node, link) = if part == 1 { heard::node() } else { (std::mem::take(&mut node), link) };
             let node = node.as_mut().unwrap();
@@ -296,7 +296,7 @@
     }
 }
 
-/// A module that sends the first set-up and writes down what it is told.
+/// A module that sends the first set-up and records its events.
 mod heard {
     use super::*;
     use micadyke::interface::*;
@@ -321,21 +321,21 @@
         }
     }
 
-    /// A node with a set-up out, and the connection that it is out on.
+    /// A node with a set-up in flight, and its connection.
     pub fn node() -> (Option<Node<Heard>>, ConnId) {
         let mut node = Node::new(&config(1, 256), Heard::default(), START);
         let mut out = Vec::new();
-        node.handle(START, Input::ViewerOpened { conn: ConnId(3) }, &mut out);
+        node.handle(START, Input::ViewerConnected { conn: ConnId(3) }, &mut out);
         let asked = World::set_up(7, "free", 4000).encode().unwrap();
         node.handle(START, Input::Data { conn: ConnId(3), bytes: &asked }, &mut out);
         let connect = |o: &Output| if let Output::Connect { conn, .. } = o { Some(*conn) } else { None };
         let link = out.iter().find_map(connect).expect("a connection");
-        node.handle(START, Input::Up { conn: link }, &mut out);
+        node.handle(START, Input::Connected { conn: link }, &mut out);
         (Some(node), link)
     }
 }
 
-// ----- what becomes of servers
+// ----- servers
 
 fn playing(servers: usize, sessions: u64) -> (World, u64) {
     let mut w = World::new(servers);
@@ -343,7 +343,7 @@
     let v = w.viewer();
     (1..=sessions).for_each(|id| w.ask(v, id, "free", 4000));
     w.run(SECOND);
-    assert_eq!(w.node.held(), (0, sessions as usize));
+    assert_eq!(w.node.session_counts(), (0, sessions as usize));
     (w, v)
 }
 
@@ -356,7 +356,7 @@
     let (mut w, v) = playing(1, 3);
     w.reset(server_addr(0));
     w.run(2 * SECOND);
-    assert_eq!((w.node.held(), releases(&w, v).len(), w.links_to(server_addr(0))), ((0, 3), 0, 1));
+    assert_eq!((w.node.session_counts(), releases(&w, v).len(), w.links_to(server_addr(0))), ((0, 3), 0, 1));
 }
 
 #[test]
@@ -368,7 +368,7 @@
     w.run(2 * SECOND);
     let told = releases(&w, v);
     assert!(told.len() == 3 && told.iter().all(|t| *t < died + 500 * MS), "{told:?}");
-    assert_eq!(w.node.held(), (0, 0));
+    assert_eq!(w.node.session_counts(), (0, 0));
 }
 
 #[test]
@@ -385,16 +385,16 @@
 #[test]
 fn a_server_that_stands_still_but_takes_connections_keeps_its_sessions() {
     let (mut w, v) = playing(1, 3);
-    // It says nothing for twenty seconds; calls get through.
+    // It is silent for 20 s; connection attempts succeed.
     w.run(20 * SECOND);
-    assert_eq!((w.node.held(), releases(&w, v).len()), ((0, 3), 0));
-    // Calls do not pile up connections.
+    assert_eq!((w.node.session_counts(), releases(&w, v).len()), ((0, 3), 0));
+    // Probes do not accumulate connections.
     assert!(w.links_to(server_addr(0)) <= 4, "{}", w.links_to(server_addr(0)));
 }
 
 #[test]
 fn a_new_process_or_a_new_server_at_the_address_is_not_the_old_one() {
-    // What the list says, and whether the sessions are over by it.
+    // The list's row, and whether it ends the sessions.
     let later = (START + SECOND) / MS;
     let elsewhere = row(0, "up", 0).replace(":2905", ":2906");
     let taken = format!("{},{}", row(0, "removed", 0), row(9, "up", later).replace("127.1.0.9", "127.1.0.0"));
@@ -407,10 +407,10 @@
         w.run(SECOND);
         assert_eq!(releases(&w, v).len(), if over { 3 } else { 0 }, "{rows}");
         if rows.contains("removed") {
-            // The old connections are good; once they are gone, the address is not the old server's any more.
+            // The old connections are valid; once they are closed, the address no longer belongs to the old server.
             w.reset(server_addr(0));
             w.run(SECOND);
-            assert_eq!((releases(&w, v).len(), w.node.held()), (3, (0, 0)));
+            assert_eq!((releases(&w, v).len(), w.node.session_counts()), (3, (0, 0)));
             assert_eq!(w.node.counts().lost_servers, 1, "one server, found gone once");
         }
     }
@@ -423,14 +423,14 @@
     let v = w.viewer();
     w.ask(v, 7, "free", 4000);
     w.run(SECOND);
-    // On the same connection the next one gets no answer: the connection is given up after it.
+    // The next set-up on the same connection gets no answer: the connection is closed after it.
     w.servers.values_mut().for_each(|s| s.usual = Treat::Silent);
     w.ask(v, 8, "free", 4000);
     w.run(20 * MS);
     w.bus(2, false, &row(0, "removed", 0));
     w.run(SECOND);
-    let [_, links, servers, ..] = w.node.books();
-    assert_eq!((links, servers, w.node.held()), (0, 0, (0, 0)));
+    let [_, links, servers, ..] = w.node.table_sizes();
+    assert_eq!((links, servers, w.node.session_counts()), (0, 0, (0, 0)));
     kept(&w);
 }
 
@@ -447,13 +447,13 @@
     w.run(2 * SECOND);
     let slow = (1..=40).filter(|id| w.answer(*id).is_none_or(|a| !a.1)).count();
     assert_eq!(slow, 0, "the other server serves them all");
-    // The module hears of it, so that few go there in vain: one more at the end of each span that it is lost for.
+    // The module is told, so few set-ups try it in vain: one at the end of each avoidance time.
     let in_vain = w.node.counts().ended[3];
     assert!((1..=3).contains(&in_vain), "{in_vain} of 40 set-ups found no connection");
     kept(&w);
 }
 
-// ----- what other nodes say
+// ----- reports of other nodes
 
 fn drains(n: usize, version: u64) -> ServerReport {
     ServerReport::Drain { server: format!("s-{n}"), version }
@@ -473,43 +473,43 @@
 #[test]
 fn a_drain_that_another_node_heard_of_counts_until_the_own_list_speaks() {
     let (mut w, v) = playing(3, 6);
-    w.node.has_others();
-    let held = w.node.held();
-    w.feed(Input::Heard(&drains(0, 5)));
-    // Rule 3 counts from here, as from a word of the bus.
+    w.node.enable_peers();
+    let held = w.node.session_counts();
+    w.feed(Input::ServerReport(&drains(0, 5)));
+    // Rule 3 counts from here, as from an event of the bus.
     w.record.push((w.now, Seen::Told { server: "s-0".into() }));
     assert_eq!(reached(&mut w, v, 1000, 0), 0);
-    assert!(w.node.held().1 >= held.1, "no session ended for it");
+    assert!(w.node.session_counts().1 >= held.1, "no session ended for it");
     kept(&w);
-    // The own list gets there, and says nothing of it: it was not so. What is older than that is not taken.
+    // The own list reaches that version without the drain, so the report was wrong. Older reports are ignored.
     w.bus(2, false, &row(1, "up", 0));
     w.bus(3, false, "");
     w.bus(4, false, "");
     w.bus(5, false, "");
     w.run(100 * MS);
-    w.feed(Input::Heard(&drains(0, 5)));
+    w.feed(Input::ServerReport(&drains(0, 5)));
     assert!(reached(&mut w, v, 2000, 0) > 0);
 }
 
 #[test]
 fn one_that_lies_takes_half_of_the_servers_at_most_and_costs_few_calls() {
     let (mut w, v) = playing(4, 8);
-    w.node.has_others();
-    (0..4).for_each(|n| w.feed(Input::Heard(&drains(n, u64::MAX))));
+    w.node.enable_peers();
+    (0..4).for_each(|n| w.feed(Input::ServerReport(&drains(n, u64::MAX))));
     let used = (0..4).filter(|n| reached(&mut w, v, 1000 * (1 + *n as u64), *n) > 0).count();
     assert_eq!(used, 2);
-    // Findings without end: some calls a second, and no session ends, for the servers are there.
+    // Continuous findings cause a few probes per second, and no session ends, as the servers are there.
     let (mut w, _) = playing(4, 8);
     w.run(2 * SECOND);
-    let (links, held) = (w.node.counts().links, w.node.held());
+    let (links, held) = (w.node.counts().links, w.node.session_counts());
     for i in 0..400 {
         let what = [Finding::Silent, Finding::Refused, Finding::Restarted][i % 3];
-        w.feed(Input::Heard(&ServerReport::Found { server: format!("s-{}", i % 4), what }));
+        w.feed(Input::ServerReport(&ServerReport::Found { server: format!("s-{}", i % 4), what }));
         w.run(5 * MS);
     }
     let calls = w.node.counts().links - links;
     assert!((1..=12).contains(&calls), "{calls} in two seconds");
-    assert_eq!(w.node.held(), held);
+    assert_eq!(w.node.session_counts(), held);
     kept(&w);
 }
 
@@ -518,7 +518,7 @@
     for others in [false, true] {
         let (mut w, _) = playing(3, 3);
         if others {
-            w.node.has_others();
+            w.node.enable_peers();
         }
         w.drain(2, 0);
         w.run(50 * MS);
@@ -528,7 +528,7 @@
         w.run(50 * MS);
         let found = |n: usize, what| ServerReport::Found { server: format!("s-{n}"), what };
         let all = vec![drains(0, 2), found(1, Finding::Silent), found(2, Finding::Restarted)];
-        assert_eq!(w.news, if others { all } else { vec![] });
+        assert_eq!(w.reports, if others { all } else { vec![] });
     }
 }
 
@@ -542,22 +542,22 @@
     w.bus(2, false, &row(1, "up", 0));
     w.bus(2, false, &row(1, "draining", 0));
     w.run(10 * MS);
-    assert_eq!(w.node.books()[2], 2);
-    // Broken off in the middle of an event: asked again at once from the last whole one.
+    assert_eq!(w.node.table_sizes()[2], 2);
+    // Closed in the middle of an event: reopened at once from the last complete one.
     w.bus_bytes(b"id: 3\ndata: {\"offset\":3,\"topo");
     w.run(10 * MS);
     w.break_bus();
     w.run(20 * MS);
     assert_eq!(w.bus_calls.last().map(|c| c.1), Some(2));
-    // A gap: asked again, and then taken as it comes.
+    // A gap: requested again, and then accepted.
     let calls = w.bus_calls.len();
     w.bus(9, false, &row(2, "up", 0));
     w.run(20 * MS);
-    assert_eq!((w.bus_calls.len(), w.node.books()[2]), (calls + 1, 3));
+    assert_eq!((w.bus_calls.len(), w.node.table_sizes()[2]), (calls + 1, 3));
     w.bus(9, false, &row(3, "up", 0));
     w.run(20 * MS);
-    assert_eq!(w.node.books()[2], 3);
-    // Silence of an open stream; comments are no silence.
+    assert_eq!(w.node.table_sizes()[2], 3);
+    // Silence of an open stream; comments are not silence.
     let calls = w.bus_calls.len();
     for _ in 0..5 {
         w.bus_bytes(b":\n\n");
@@ -566,13 +566,13 @@
     assert_eq!(w.bus_calls.len(), calls);
     w.run(2 * SECOND);
     assert_eq!((w.bus_calls.len(), w.bus_calls.last().map(|c| c.1)), (calls + 1, Some(9)));
-    // Out of reach: pauses grow, but stay short.
+    // Unreachable: pauses grow but stay short.
     w.bus_up = false;
     w.break_bus();
     let calls = w.bus_calls.len();
     w.run(10 * SECOND);
     assert!((20..120).contains(&(w.bus_calls.len() - calls)), "{}", w.bus_calls.len() - calls);
-    // To the millisecond: a drain counts as told once it is in the bus, whoever is connected.
+    // To the millisecond: a drain counts as delivered once the bus has it, whoever is connected.
     let (mut asked, mut calls, mut gaps) = (w.now, w.bus_calls.len(), std::collections::BTreeSet::new());
     for _ in 0..20_000 {
         w.run(MS);
@@ -582,13 +582,13 @@
         }
     }
     assert!(gaps.len() > 15 && gaps.last() <= Some(&503), "{gaps:?}");
-    // Moved: the number is kept.
+    // Moved: the event number is kept.
     w.feed(Input::BusMoved { addr: "127.0.0.3:4222".parse().unwrap() });
     w.run(10 * MS);
     assert_eq!(w.bus_calls.last().map(|c| c.1), Some(9));
 }
 
-// ----- the door
+// ----- admission
 
 #[test]
 fn bad_viewers_are_told_or_closed_within_three_seconds_and_harm_nobody() {
@@ -631,7 +631,7 @@
     for (what, bytes) in table {
         let mut w = World::new(2);
         let bad = w.viewer();
-        // In one read, byte by byte, and the same again at once.
+        // In one read, byte by byte, and immediately repeated.
         w.send(bad, bytes.clone());
         let slow = w.viewer();
         bytes.iter().for_each(|b| w.send(slow, vec![*b]));
@@ -647,7 +647,7 @@
         assert!(w.answer(7).is_some_and(|a| a.1), "{what}");
         assert!(!w.closed.contains_key(&usual), "{what}");
         kept(&w);
-        assert_eq!(w.node.books()[3], 1, "{what}: only the usual session is held");
+        assert_eq!(w.node.table_sizes()[3], 1, "{what}: only the usual session is held");
     }
 }
 
@@ -658,12 +658,12 @@
     let (a, b) = (w.viewer(), w.viewer());
     w.ask(a, 7, "free", 4000);
     w.run(10 * MS);
-    // Elsewhere under the same number: that connection is closed, the first is served.
+    // On another connection with the same id: that connection is closed, the first set-up is served.
     w.send(b, World::set_up(7, "paid", 4000).encode().unwrap());
     w.run(SECOND);
     assert!(w.closed.contains_key(&b) && !w.told.contains_key(&b));
     assert!(w.answer(7).is_some_and(|a| a.1));
-    // On one connection: nothing is served under it.
+    // On the same connection: nothing is served under the id.
     let c = w.viewer();
     w.record.push((w.now, Seen::Asked { id: 8, patience: 4 * SECOND, paid: false, floor: 0 }));
     w.record.push((w.now, Seen::GaveUp { id: 8 }));
@@ -681,7 +681,7 @@
 
 #[test]
 fn floods_are_bounded_and_make_room() {
-    // Hundreds of connections that say nothing: the usual one stays, the number is bounded.
+    // Hundreds of silent connections: the active one stays, the number is bounded.
     let mut w = World::new(2);
     let usual = w.viewer();
     w.ask(usual, 7, "free", 4000);
@@ -689,15 +689,15 @@
     for _ in 0..600 {
         w.viewer();
         w.run(MS);
-        assert!(w.node.books()[0] <= 128);
+        assert!(w.node.table_sizes()[0] <= 128);
     }
     let late = w.viewer();
     w.ask(late, 8, "free", 4000);
     w.run(SECOND);
     assert!(w.answer(8).is_some_and(|a| a.1) && !w.closed.contains_key(&usual));
     w.run(3 * SECOND);
-    assert_eq!(w.node.books()[0], 2, "the silent ones are closed");
-    // Hundreds of set-ups at once on one connection: a part is taken, each is answered.
+    assert_eq!(w.node.table_sizes()[0], 2, "the silent ones are closed");
+    // Hundreds of set-ups at once on one connection: some are admitted, all are answered.
     let mut w = World::new(2);
     w.servers.values_mut().for_each(|s| s.delay = 100 * MS);
     let v = w.viewer();
@@ -706,18 +706,18 @@
     assert!((1..=400).all(|id| w.answer(id).is_some()));
     assert_eq!(w.node.counts().turned_away, 336);
     kept(&w);
-    // Hundreds withdrawn at once.
+    // Hundreds of withdrawals at once.
     let v = w.viewer();
     for id in 1001..=1300 {
         w.ask(v, id, "free", 4000);
         w.give_up(v, id);
     }
     w.run(2 * SECOND);
-    assert_eq!(w.node.held().0, 0);
+    assert_eq!(w.node.session_counts().0, 0);
     kept(&w);
 }
 
-// ----- the end
+// ----- stopping
 
 #[test]
 fn a_stopping_node_serves_on_answers_what_it_took_and_ends() {
@@ -731,19 +731,19 @@
     let (late, at) = (w.viewer(), w.now);
     w.ask(late, 8, "paid", 4000);
     w.feed(Input::Stop);
-    assert!(!w.node.done(w.now));
+    assert!(!w.node.may_end(w.now));
     w.run(700 * MS);
-    assert!(!w.node.done(w.now), "a set-up is owed its answer");
+    assert!(!w.node.may_end(w.now), "a set-up is owed its answer");
     w.run(300 * MS);
     assert!(w.answer(7).is_some() && w.answer(8).is_some_and(|a| a.1), "{:?}", w.record);
-    assert!(w.node.done(w.now) && w.now < at + 3 * SECOND);
-    // Sessions stand on at their servers.
+    assert!(w.node.may_end(w.now) && w.now < at + 3 * SECOND);
+    // Sessions keep playing at their servers.
     assert_eq!(w.servers.values().map(|s| s.standing().count()).sum::<usize>(), 2);
 }
 
 #[test]
 fn a_stopping_node_answers_what_is_open_before_it_may_be_killed() {
-    // How long after the stop a set-up comes, and the longest deadline: of that 3 s count at most, and 0.7 s more.
+    // The time from the stop to a set-up, and the longest deadline, of which at most 3 s count, plus 0.7 s.
     for (after, deadline) in [(50, 4000), (600, 4000), (600, 1000), (2500, 4000)] {
         let text =
             SETTINGS.replace("\"deadline_ns\":4000000000", &format!("\"deadline_ns\":{deadline}000000"));
@@ -752,20 +752,20 @@
         let mut w = World::with(config, 1, None);
         w.servers.values_mut().for_each(|s| s.usual = Treat::Silent);
         let v = w.viewer();
-        // One that is out all the while: clients go on sending on connections that stay open.
+        // One set-up is in flight the whole time: clients keep sending on open connections.
         w.ask(v, 7, "paid", 600_000);
         w.run(20 * MS);
         w.feed(Input::Stop);
         w.run(after * MS);
         w.ask(v, 8, "paid", 4000);
         w.run((deadline.min(3000) + 690 - after.min(deadline.min(3000) + 690)) * MS);
-        assert!(w.node.done(w.now), "{after} {deadline}");
+        assert!(w.node.may_end(w.now), "{after} {deadline}");
         assert!(
             [7, 8].iter().all(|id| w.answer(*id).is_some_and(|a| !a.1 && !a.2)),
             "{after} {deadline}: {:?}",
             w.record
         );
-        assert_eq!(w.node.held(), (0, 0));
+        assert_eq!(w.node.session_counts(), (0, 0));
         kept(&w);
     }
 }
@@ -778,15 +778,15 @@
     let v = w.viewer();
     w.ask(v, 7, "paid", 4000);
     w.run(50 * MS);
-    // The configuration moves and the stop comes, in the same moment.
+    // The configuration changes and the stop arrives at the same moment.
     w.feed(Input::BusMoved { addr: "127.0.0.9:4222".parse().expect("an address") });
     w.feed(Input::Stop);
-    assert!(!w.node.done(w.now));
-    // One server is back before the set-up's time is over: it plays there, or is refused; it is not forgotten.
+    assert!(!w.node.may_end(w.now));
+    // One server is back before the set-up's time is over: it is served there or refused, but not forgotten.
     w.run(300 * MS);
     w.back(server_addr(0));
     w.run(2 * SECOND);
     assert!(w.answer(7).is_some(), "{:?}", w.record);
-    assert!(w.node.done(w.now));
+    assert!(w.node.may_end(w.now));
     kept(&w);
 }
--- a/crates/node/tests/deployment/mod.rs
+++ b/crates/node/tests/deployment/mod.rs
@@ -1,11 +1,11 @@
-//! Deployments drawn at random, and a day of each around the core, judged from what crossed.
+//! Randomly generated deployments, and a day of each around the core, judged from the recorded traffic.
 #![allow(dead_code)]
 
 use crate::world::*;
 use micadyke_isup::{Message, code, kind};
 use micadyke_membership::server_report::{Finding, ServerReport};
 use micadyke_node::Input;
-use micadyke_node::config::{Config, read};
+use micadyke_node::config::{Config, from_json};
 use micadyke_recovery::phases::MembershipEvent as Fact;
 use micadyke_standin::platform::{Record, Seen, Treat};
 use micadyke_subset::settings::SubsetSettings;
@@ -20,7 +20,7 @@
     pub effect: &'static str,
     pub scope: &'static str,
     pub window: u64,
-    /// How long its viewers wait at most.
+    /// The longest patience of its viewers.
     pub deadline: u64,
     pub floor: usize,
     pub top: usize,
@@ -58,7 +58,7 @@
     pub sockets: u64,
 }
 
-/// What of a deployment is not drawn.
+/// The fixed parameters of a deployment.
 #[derive(Debug, Default, Clone, Copy)]
 pub struct Fixed {
     pub classes: Option<usize>,
@@ -67,7 +67,7 @@
     pub zones: Option<usize>,
 }
 
-/// Draws a deployment.
+/// Generates a deployment.
 pub fn site(r: &mut StdRng, fixed: Fixed) -> Site {
     let rungs = *[1, 1, 2, 3, 5, 9].choose(r).unwrap();
     let rungs = fixed.rungs.unwrap_or(rungs);
@@ -138,7 +138,7 @@
         settings["rules"]["spare_attempts"] = 3.into();
     }
     let mut site = Site { settings, classes, rungs, cells, attempts, places: Vec::new(), sockets: 0 };
-    // Fields that may be missing.
+    // Optional fields.
     for path in OPTIONAL.iter().filter(|_| r.random_bool(0.2)) {
         let parent = path.0.iter().fold(&mut site.settings, |v, key| match key.parse::<usize>() {
             Ok(i) => &mut v[i],
@@ -165,7 +165,7 @@
     site
 }
 
-/// Where a field that may be missing stands.
+/// The location of an optional field.
 const OPTIONAL: [(&[&str], &str); 30] = [
     (&[], "dcs"),
     (&[], "zone"),
@@ -206,10 +206,10 @@
     let config = json!({"name": "n", "listen": "127.0.0.1:2905", "seed": format!("{seed:016x}"),
         "limits": {"cores": 1, "memory_mb": 32, "sockets": site.sockets}, "bus": "127.0.0.2:4222",
         "known": {"offset": 1, "batch": [list]}, "settings": site.settings});
-    read(&config.to_string()).unwrap_or_else(|e| panic!("seed {seed}: {e}"))
+    from_json(&config.to_string()).unwrap_or_else(|e| panic!("seed {seed}: {e}"))
 }
 
-/// What a viewer asked for.
+/// A viewer's request.
 #[derive(Debug, Clone)]
 pub struct Asked {
     pub class: Class,
@@ -218,7 +218,7 @@
     pub top: usize,
 }
 
-/// What the record shows broken that depends on the deployment: rungs, cells, attempts, repeats of what is deduplicated.
+/// Broken rules in the record that depend on the deployment: rungs, cells, attempts, duplicates.
 fn broken_terms(site: &Site, record: &Record, asked: &BTreeMap<u64, Asked>) -> Vec<String> {
     let mut broken = Vec::new();
     let place = |server: &str| server[2..].parse().ok().and_then(|n: usize| site.places.get(n));
@@ -264,8 +264,8 @@
     broken
 }
 
-/// The rules that a day broke. The list tells here of servers that started anew while their stand-ins live on: a session
-/// that the node released for that ends at its server once more, and is not released twice.
+/// The rules that a day broke. Here the list reports restarts of servers whose stand-ins keep running: a session that the node
+/// released for that ends at its server once more and is not released twice.
 pub fn broken_rules(w: &World, how: Option<Break>) -> Vec<String> {
     let released: Vec<String> = w
         .record
@@ -279,7 +279,7 @@
     w.broken_rules().into_iter().filter(|b| how.is_some() || !before(b)).collect()
 }
 
-/// How the node chooses with others.
+/// The node's coordination settings.
 fn terms(r: &mut StdRng) -> SubsetSettings {
     let least = *[1, 1, 3, 20].choose(r).unwrap();
     let (rate, burst) = (r.random_range(1..20), r.random_range(1..5));
@@ -296,21 +296,21 @@
     micadyke_subset::settings::read(&text, "n").unwrap_or_else(|e| panic!("{text}: {e:?}")).unwrap()
 }
 
-/// What the fleet tells now: members come and go, the view settles, or somebody found something, whether true or not.
+/// An event of the fleet: members come and go, the view settles, or a finding is reported, true or not.
 fn fleet(w: &mut World, r: &mut StdRng, servers: usize) {
     let member = format!("m{}", r.random_range(0..9));
     let server = format!("s-{}", r.random_range(0..servers));
     let what = *[Finding::Silent, Finding::Refused, Finding::Restarted].choose(r).unwrap();
     match r.random_range(0..8) {
-        0 | 1 => w.feed(Input::Fleet(&Fact::Alive(member, 1))),
-        2 => w.feed(Input::Fleet(&Fact::Gone(member))),
-        3 | 4 => w.feed(Input::Fleet(&Fact::ViewSettled(r.random_bool(0.8)))),
-        5 | 6 => w.feed(Input::Heard(&ServerReport::Found { server, what })),
+        0 | 1 => w.feed(Input::Membership(&Fact::Alive(member, 1))),
+        2 => w.feed(Input::Membership(&Fact::Gone(member))),
+        3 | 4 => w.feed(Input::Membership(&Fact::ViewSettled(r.random_bool(0.8)))),
+        5 | 6 => w.feed(Input::ServerReport(&ServerReport::Found { server, what })),
         _ => {}
     }
 }
 
-/// A day of a drawn deployment, the world after it, and what broke, if anything did.
+/// Runs a day of a random deployment. Returns it, the world after it, and the broken rules.
 pub fn day(
     seed: u64, how: Option<Break>, draw: impl FnOnce(&mut StdRng) -> Site,
 ) -> (Site, World, Vec<String>) {
@@ -322,8 +322,8 @@
     let mut chosen = StdRng::seed_from_u64(!seed);
     let chooses = chosen.random_bool(0.5);
     if chooses {
-        w.node.has_others();
-        w.node.chooses("n", terms(&mut chosen));
+        w.node.enable_peers();
+        w.node.coordinate("n", terms(&mut chosen));
     }
     w.servers.values_mut().for_each(|s| s.usual = Treat::Serve(2 * SECOND));
     let (mut viewer, mut id, mut offset) = (w.viewer(), 1, 1);
@@ -349,7 +349,7 @@
                     spread,
                     top: r.random_range(0..site.rungs),
                 };
-                // In parts of four thousand of what its class waits at most.
+                // In steps of a 4000th of its class's longest patience.
                 let patience = (r.random_range(300..4000) * (a.class.deadline / MS) / 4000).max(1);
                 let figures =
                     format!("home:{};copies:{spread};top:{};viewer:1;again:{}", a.base, a.top, id % 2);
@@ -380,7 +380,7 @@
                     Treat::Release,
                 ];
                 let treat = *all.choose(&mut r).unwrap();
-                // One, or a part of all: few set-ups meet one of two hundred.
+                // One server or a share of all, as few set-ups reach one of two hundred.
                 for s in w.servers.values_mut().skip(n).take(1 + servers / 3) {
                     s.next.push_back(treat);
                 }
@@ -410,16 +410,16 @@
     (0..servers).for_each(|s| w.back(server_addr(s)));
     let longest = site.classes.iter().map(|c| c.deadline).max().unwrap_or(0);
     w.run(30 * SECOND + longest.saturating_sub(4 * SECOND));
-    // A server that was silent is looked at when its turn comes, windows later; the connection is idle then.
+    // A silent server is probed at its turn, windows later; the connection is idle then.
     for _ in 0..20 {
-        if chooses && w.node.books()[1] > 0 {
+        if chooses && w.node.table_sizes()[1] > 0 {
             w.run(7 * SECOND);
         }
     }
     let mut broken = broken_rules(&w, how);
     broken.extend(broken_terms(&site, &w.record, &asked));
-    let [_, links, _, sessions, timers, releases] = w.node.books();
-    let left = (w.node.held(), links, sessions, releases, w.node.module().session_count());
+    let [_, links, _, sessions, timers, releases] = w.node.table_sizes();
+    let left = (w.node.session_counts(), links, sessions, releases, w.node.module().session_count());
     if left != ((0, 0), 0, 0, 0, 0) || timers > 4 {
         broken.push(format!("the books hold {left:?}, {timers} timers"));
     }
--- a/crates/node/tests/drawn.rs
+++ b/crates/node/tests/drawn.rs
@@ -1,5 +1,5 @@
-//! The core under settings drawn at random: nothing in it may lean on the classes, zones, rungs, effects or limits of one
-//! deployment. The rules are judged from what crossed, and the books have to be empty at the end.
+//! The core under random settings: nothing in it may depend on the classes, zones, rungs, effects or limits of one deployment.
+//! The rules are judged from the recorded traffic, and all tables must be empty at the end.
 
 mod deployment;
 mod world;
@@ -10,7 +10,7 @@
 /// Days of the bounded run. Each takes some tens of milliseconds in a debug build.
 const DAYS: u64 = 120;
 
-/// A day of a deployment of which everything is drawn.
+/// A day of a randomly generated deployment.
 fn drawn(seed: u64, how: Option<Break>) -> (Site, Vec<String>) {
     let (site, _, broken) = day(seed, how, |r| site(r, Fixed::default()));
     (site, broken)
--- a/crates/node/tests/gone.rs
+++ b/crates/node/tests/gone.rs
@@ -1,5 +1,5 @@
-//! Viewers that have gone, in virtual time: no attempt of theirs begins later, what waits is never sent on, and what is
-//! out is given up at its server. Servers that read nothing are part of it, for what waits for them waits in the node.
+//! Viewers that have left, in virtual time: no attempt begins later, waiting ones are never sent, and those in flight are
+//! withdrawn. This includes servers that do not read, as messages for them wait in the node.
 
 mod world;
 
@@ -11,12 +11,12 @@
 use rand::{Rng, SeedableRng};
 use world::*;
 
-/// How a viewer goes.
+/// How a viewer leaves.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Goes {
     /// It closes its connection.
     Closes,
-    /// It gives up each of its set-ups.
+    /// It withdraws each of its set-ups.
     GivesUp,
     /// It does both.
     Both,
@@ -24,7 +24,7 @@
 
 const WAYS: [Goes; 3] = [Goes::Closes, Goes::GivesUp, Goes::Both];
 
-/// Set-ups of one viewer in one piece, so that the core takes them in one turn.
+/// Set-ups of one viewer in one read, so that the core handles them as one input.
 fn ask_at_once(w: &mut World, conn: u64, ids: std::ops::Range<u64>, class: &str) {
     let mut bytes = Vec::new();
     for id in ids {
@@ -35,7 +35,7 @@
     w.send(conn, bytes);
 }
 
-/// A viewer goes, with all of its set-ups that were not answered.
+/// A viewer leaves, with all of its unanswered set-ups.
 fn go(w: &mut World, conn: u64, ids: std::ops::Range<u64>, how: Goes) {
     let open: Vec<u64> = ids.filter(|id| w.answer(*id).is_none()).collect();
     let mut bytes = Vec::new();
@@ -51,7 +51,7 @@
     }
 }
 
-/// Set-ups that a server read and of which it heard no end.
+/// Set-ups that a server read without receiving their end.
 fn still_out(w: &World) -> Vec<u64> {
     let mut out = std::collections::BTreeSet::new();
     for (_, seen) in &w.record {
@@ -66,10 +66,10 @@
     out.into_iter().collect()
 }
 
-/// Nothing is left of viewers that have gone: no set-up, no session that nobody watches.
+/// Nothing is left of viewers that have gone: no set-up and no session without a viewer.
 fn all_gone(w: &World, what: &str) {
     assert_eq!(w.broken_rules(), Vec::<String>::new(), "{what}");
-    assert_eq!((still_out(w), w.node.held()), (vec![], (0, 0)), "{what}: {:?}", w.record);
+    assert_eq!((still_out(w), w.node.session_counts()), (vec![], (0, 0)), "{what}: {:?}", w.record);
     let standing: usize = w.servers.values().map(|s| s.standing().count()).sum();
     assert_eq!(standing, 0, "{what}");
 }
@@ -78,7 +78,7 @@
 
 #[test]
 fn at_whatever_instant_a_viewer_goes_nothing_of_it_begins_later_or_runs_on() {
-    // What the first servers do: answers cross, set-ups are between two attempts, or out.
+    // What the first servers do: answers cross, set-ups are between two attempts or in flight.
     let treats =
         [None, Some(Treat::Status(453)), Some(Treat::Status(500)), Some(Treat::Break), Some(Treat::Silent)];
     for (treat, how, stops, set_ups) in treats
@@ -86,7 +86,7 @@
         .flat_map(|t| WAYS.iter().map(move |h| (*t, *h)))
         .flat_map(|(t, h)| [(t, h, false, 1), (t, h, false, 20), (t, h, true, 20)])
     {
-        // Connect, set-up, 20 ms at the server and back, twice: after what happens at each millisecond, before the next.
+        // Connect, set-up, 20 ms at the server and back, twice: after the events of each millisecond, before the next.
         for instant in 0..55 {
             let mut w = World::new(3);
             w.servers.values_mut().for_each(|s| s.usual = Treat::Serve(60 * SECOND));
@@ -99,7 +99,7 @@
             w.run(instant * MS);
             go(&mut w, v, 1..1 + set_ups, how);
             w.run(300 * MS);
-            // What stood by then plays until its viewer ends it.
+            // Sessions that were playing by then play until their viewers end them.
             let other = w.viewer();
             (1..1 + set_ups)
                 .filter(|id| w.answer(*id).is_some_and(|a| a.1))
@@ -123,7 +123,7 @@
         w.run(100 * MS);
         go(&mut w, v, 1..21, how);
         w.run(10 * MS);
-        assert_eq!(w.node.held(), (0, 0), "{how:?}");
+        assert_eq!(w.node.session_counts(), (0, 0), "{how:?}");
         (0..2).for_each(|n| w.back(server_addr(n)));
         w.run(2 * SECOND);
         assert_eq!((1..21).map(|id| w.sends(id)).sum::<usize>(), 0, "{how:?}");
@@ -140,7 +140,10 @@
     w.run(50 * MS);
     w.send(other, Message::new(kind::RELEASE, 7).with_cause(16).encode().unwrap());
     w.run(50 * MS);
-    assert_eq!((w.node.held(), w.told[&other].last().map(|m| m.1.kind)), ((1, 0), Some(kind::RELEASE_ACK)));
+    assert_eq!(
+        (w.node.session_counts(), w.told[&other].last().map(|m| m.1.kind)),
+        ((1, 0), Some(kind::RELEASE_ACK))
+    );
     w.give_up(v, 7);
     w.give_up(v, 7);
     w.run(SECOND);
@@ -156,21 +159,21 @@
     let v = w.viewer();
     w.ask(v, 7, "free", 4000);
     w.run(50 * MS);
-    // An unsound message: the shell reads nothing for 50 ms, and only then hears of the close.
+    // An invalid message: the shell does not read for 50 ms and only then notices the close.
     let mut bad = World::set_up(8, "free", 4000);
     bad.parameters.retain(|p| p.0 != code::TITLE);
     w.send(v, bad.encode().unwrap());
     w.run(MS);
     w.record.push((w.now, Seen::GaveUp { id: 7 }));
-    w.run(micadyke_node::limits::viewers::UNSOUND_PAUSE);
+    w.run(micadyke_node::limits::viewers::INVALID_MESSAGE_PAUSE);
     w.hang_up(v);
     w.run(SECOND);
     all_gone(&w, "paused");
 }
 
-// ----- servers that read nothing
+// ----- servers that do not read
 
-/// What connections to a server take, in bytes: nothing, a part of a set-up, some set-ups and the part of one.
+/// Bytes that connections to a server accept: none, a part of a set-up, some set-ups and a part of one.
 const WINDOWS: [usize; 7] = [0, 1, 100, 300, 400, 700, 1000];
 
 #[test]
@@ -194,7 +197,7 @@
         all_gone(&w, &what);
         let sent = (1..21).map(|id| w.sends(id)).sum::<usize>();
         assert!(sent <= 4 * (window / 100 + 1), "{what}: {sent} set-ups");
-        // The server serves those that come later.
+        // The server serves later set-ups.
         let late = w.viewer();
         w.ask(late, 99, "paid", 4000);
         w.run(SECOND);
@@ -206,7 +209,7 @@
 fn a_set_up_and_its_end_in_one_piece_leave_nothing_for_a_server_that_reads_nothing() {
     for window in WINDOWS {
         let mut w = World::new(1);
-        // Four connections up and idle, then narrowed.
+        // Four connections that are established and idle, then narrowed.
         let v = w.viewer();
         ask_at_once(&mut w, v, 1..5, "free");
         w.run(SECOND);
@@ -240,12 +243,12 @@
         w.run(2 * SECOND);
         w.widen(server_addr(0));
         w.run(3 * SECOND);
-        // For drains a send counts from its first byte, which the record lacks: one on each connection was begun in time.
+        // For drains a send counts from its first byte, which the record lacks: one on each connection was started in time.
         let (begun, broken): (Vec<_>, Vec<_>) =
             w.broken_rules().into_iter().partition(|b| b.starts_with("rule 3"));
         assert_eq!(broken, Vec::<String>::new(), "{window} {class}");
         assert!(begun.len() <= if window == 0 { 0 } else { 4 }, "{window} {class}: {begun:?}");
-        // Those that were not begun are served elsewhere, at once; of each connection one was begun in part at most.
+        // Set-ups that were not started are served elsewhere at once; at most one of each connection was started.
         let quick = (1..21).filter(|id| w.answer(*id).is_some_and(|a| a.1 && a.0 < START + 200 * MS)).count();
         assert!(quick + 4 * (window / 100 + 1) >= 20, "{window} {class}: {quick} {:?}", w.record);
         if window == 0 {
@@ -271,7 +274,7 @@
         assert_eq!(w.broken_rules(), Vec::<String>::new(), "{window} {class} {read_after}");
         assert!((1..21).all(|id| w.answer(id).is_some()), "{window} {class} {read_after}");
         w.run(10 * SECOND);
-        assert_eq!(w.node.held(), (0, 0), "{window} {class} {read_after}");
+        assert_eq!(w.node.session_counts(), (0, 0), "{window} {class} {read_after}");
     }
 }
 
@@ -297,7 +300,7 @@
 
 #[test]
 fn the_end_of_a_session_reaches_its_server_although_its_connection_takes_nothing() {
-    // What each connection takes, and whether all are reset before the server reads again.
+    // Bytes that each connection accepts, and whether all are reset before the server reads again.
     for (window, reset) in [(0, false), (10, false), (0, true)] {
         let mut w = World::new(1);
         w.servers.values_mut().for_each(|s| s.usual = Treat::Serve(60 * SECOND));
@@ -326,7 +329,7 @@
     w.run(SECOND);
     w.windows.narrow(server_addr(0), 10);
     let link = w.link_to(server_addr(0)).expect("a connection");
-    // Each word of it is answered.
+    // Each of its messages is answered.
     let word = micadyke_rtsp::Message::request("TEARDOWN", "rtsp://media/a", 2).session(99).encode();
     for _ in 0..60 {
         w.feed(Input::Data { conn: ConnId(link), bytes: &word.repeat(100) });
@@ -364,13 +367,13 @@
         }
         (0..3).for_each(|n| w.widen(server_addr(n)));
         w.run(20 * SECOND);
-        assert_eq!((w.broken_rules(), w.node.held()), (vec![], (0, 0)), "seed {seed}");
-        let [_, _, _, sessions, _, _] = w.node.books();
+        assert_eq!((w.broken_rules(), w.node.session_counts()), (vec![], (0, 0)), "seed {seed}");
+        let [_, _, _, sessions, _, _] = w.node.table_sizes();
         assert_eq!(sessions, 0, "seed {seed}");
     }
 }
 
-// ----- a module that waits
+// ----- a module that decides nothing
 
 /// A module that decides nothing.
 #[derive(Debug, Default)]
@@ -384,12 +387,12 @@
 fn undecided() -> (Node<Waits>, Vec<Output>) {
     let mut node = Node::new(&config(1, 256), Waits, START);
     let mut out = Vec::new();
-    node.handle(START, Input::ViewerOpened { conn: ConnId(3) }, &mut out);
+    node.handle(START, Input::ViewerConnected { conn: ConnId(3) }, &mut out);
     for id in 1..21 {
         let bytes = World::set_up(id, "free", 4000).encode().unwrap();
         node.handle(START, Input::Data { conn: ConnId(3), bytes: &bytes }, &mut out);
     }
-    assert_eq!(node.held(), (20, 0));
+    assert_eq!(node.session_counts(), (20, 0));
     (node, out)
 }
 
@@ -397,14 +400,14 @@
 fn a_set_up_that_no_module_has_decided_leaves_with_its_viewer() {
     let (mut node, mut out) = undecided();
     node.handle(START + MS, Input::Closed { conn: ConnId(3), written: 0, refused: false }, &mut out);
-    assert_eq!((node.held(), node.books()[3]), ((0, 0), 0));
+    assert_eq!((node.session_counts(), node.table_sizes()[3]), ((0, 0), 0));
 }
 
 #[test]
 fn a_set_up_that_no_module_has_decided_is_answered_once_when_the_node_ends() {
     let (mut node, mut out) = undecided();
     node.handle(START + MS, Input::Stop, &mut out);
-    (1..500).for_each(|tick| node.handle(START + tick * 10 * MS, Input::Wake, &mut out));
+    (1..500).for_each(|tick| node.handle(START + tick * 10 * MS, Input::Timer, &mut out));
     let releases = |o: &&Output| matches!(o, Output::Write { conn, .. } if *conn == ConnId(3));
     assert_eq!((out.iter().filter(releases).count(), node.counts().failed), (20, 20));
 }
--- a/crates/node/tests/limits.rs
+++ b/crates/node/tests/limits.rs
@@ -1,97 +1,125 @@
-//! What a node chooses beyond the module's decisions, by tables: who makes room, who bears a release, which connection is
-//! used and for how long.
+//! Tables of the node's own choices: which connection is evicted, which carries a release or a set-up, and its timeouts.
 
 use micadyke::interface::Nanos;
 use micadyke_node::limits::servers::{
-    CALL_PAUSE, Candidate, Pick, idle_timeout, lost_for, may_be_closed, pick,
+    CONNECT_RETRY_PAUSE, Candidate, Pick, avoidance_time, idle_timeout, may_be_closed, pick_connection,
 };
 use micadyke_node::limits::viewers::*;
 use micadyke_node::limits::{MS, SECOND};
 
 #[test]
-fn who_makes_room() {
+fn eviction_order() {
     let now = 100 * SECOND;
-    let idler = |free, used, ago| Idler { free, used, last: now - ago * MS };
-    let (silent, tests, set_ups, sessions) = (Use::Silent, Use::Tests, Use::SetUps, Use::Sessions);
-    // (who is there, who goes)
-    let table: [(&[Idler], Option<u64>); 16] = [
-        (&[idler(false, set_ups, 9000), idler(false, silent, 9000)], None),
-        // Not while its next set-up may be on its way; else a newcomer is worth more than what has had its answer.
-        (&[idler(true, set_ups, 50), idler(true, sessions, 99), idler(false, sessions, 9000)], None),
-        (&[idler(true, set_ups, 500)], Some(0)),
-        (&[idler(true, sessions, 900), idler(true, set_ups, 100)], Some(1)),
-        (&[idler(true, sessions, 900), idler(true, sessions, 901), idler(true, set_ups, 99)], Some(1)),
-        (&[idler(true, sessions, 1000), idler(true, set_ups, 900)], Some(0)),
-        (&[idler(true, set_ups, 9000), idler(true, silent, 150)], Some(1)),
-        (&[idler(true, set_ups, 9000), idler(true, silent, 50)], Some(0)),
-        (&[idler(true, set_ups, 2000), idler(true, set_ups, 3000)], Some(1)),
-        (&[idler(true, set_ups, 500), idler(true, silent, 50), idler(true, silent, 60)], Some(2)),
-        (&[idler(true, silent, 200), idler(true, silent, 1900), idler(false, silent, 5000)], Some(1)),
-        // A connection that bears sessions goes last, however long it has said nothing.
-        (&[idler(true, sessions, 60_000), idler(true, tests, 150)], Some(1)),
-        (&[idler(true, sessions, 60_000), idler(true, set_ups, 1500)], Some(1)),
-        (&[idler(true, sessions, 60_000), idler(true, silent, 10)], Some(1)),
-        (&[idler(true, sessions, 3000), idler(true, sessions, 60_000), idler(true, set_ups, 10)], Some(1)),
-        (&[idler(true, tests, 150), idler(true, silent, 120), idler(true, set_ups, 9000)], Some(1)),
+    let candidate = |idle, usage, ago| EvictionCandidate { idle, usage, last_message_at: now - ago * MS };
+    let (silent, tests, requests, sessions) = (Usage::Silent, Usage::Tests, Usage::Requests, Usage::Sessions);
+    // The candidates and the index of the evicted one.
+    let table: [(&[EvictionCandidate], Option<u64>); 16] = [
+        (&[candidate(false, requests, 9000), candidate(false, silent, 9000)], None),
+        // Not while the next set-up may be on its way; otherwise a new client takes precedence over an answered one.
+        (
+            &[candidate(true, requests, 50), candidate(true, sessions, 99), candidate(false, sessions, 9000)],
+            None,
+        ),
+        (&[candidate(true, requests, 500)], Some(0)),
+        (&[candidate(true, sessions, 900), candidate(true, requests, 100)], Some(1)),
+        (
+            &[candidate(true, sessions, 900), candidate(true, sessions, 901), candidate(true, requests, 99)],
+            Some(1),
+        ),
+        (&[candidate(true, sessions, 1000), candidate(true, requests, 900)], Some(0)),
+        (&[candidate(true, requests, 9000), candidate(true, silent, 150)], Some(1)),
+        (&[candidate(true, requests, 9000), candidate(true, silent, 50)], Some(0)),
+        (&[candidate(true, requests, 2000), candidate(true, requests, 3000)], Some(1)),
+        (
+            &[candidate(true, requests, 500), candidate(true, silent, 50), candidate(true, silent, 60)],
+            Some(2),
+        ),
+        (
+            &[candidate(true, silent, 200), candidate(true, silent, 1900), candidate(false, silent, 5000)],
+            Some(1),
+        ),
+        // Connections with sessions are evicted last, however long they have been idle.
+        (&[candidate(true, sessions, 60_000), candidate(true, tests, 150)], Some(1)),
+        (&[candidate(true, sessions, 60_000), candidate(true, requests, 1500)], Some(1)),
+        (&[candidate(true, sessions, 60_000), candidate(true, silent, 10)], Some(1)),
+        (
+            &[
+                candidate(true, sessions, 3000),
+                candidate(true, sessions, 60_000),
+                candidate(true, requests, 10),
+            ],
+            Some(1),
+        ),
+        (
+            &[candidate(true, tests, 150), candidate(true, silent, 120), candidate(true, requests, 9000)],
+            Some(1),
+        ),
     ];
-    for (idlers, goes) in table {
-        let there = idlers.iter().enumerate().map(|(i, v)| (i as u64, *v));
-        assert_eq!(evict(there, now), goes, "{idlers:?}");
+    for (candidates, evicted) in table {
+        let numbered = candidates.iter().enumerate().map(|(i, v)| (i as u64, *v));
+        assert_eq!(pick_eviction(numbered, now), evicted, "{candidates:?}");
     }
 }
 
 #[test]
-fn who_bears_a_release() {
-    let bearer_of =
-        |standing, proven, unsound, last| Bearer { standing, proven, used: Use::SetUps, unsound, last };
-    let flood = bearer_of(0, false, false, 9);
-    let tester = Bearer { used: Use::Tests, ..bearer_of(0, false, false, 9) };
-    let table: [(&[Bearer], Nanos, Option<u64>); 9] = [
+fn choice_of_a_connection_for_a_release() {
+    let candidate = |playing, has_played, sent_invalid, last_message_at| ReleaseCandidate {
+        playing,
+        has_played,
+        usage: Usage::Requests,
+        sent_invalid,
+        last_message_at,
+    };
+    let flood = candidate(0, false, false, 9);
+    let tester = ReleaseCandidate { usage: Usage::Tests, ..candidate(0, false, false, 9) };
+    let table: [(&[ReleaseCandidate], Nanos, Option<u64>); 9] = [
         (&[flood], 0, None),
-        (&[flood], RELEASE_CHOOSY, Some(0)),
-        (&[bearer_of(0, false, true, 9)], RELEASE_KEPT, None),
-        (&[flood, bearer_of(0, true, false, 1)], RELEASE_CHOOSY, Some(1)),
-        (&[flood, bearer_of(0, true, false, 8), bearer_of(2, true, false, 1)], 0, Some(2)),
-        (&[bearer_of(1, true, false, 1), bearer_of(1, true, false, 2)], 0, Some(1)),
-        // What only tested the node is hardly a viewer's.
-        (&[tester], RELEASE_CHOOSY, None),
-        (&[tester], RELEASE_ANY, Some(0)),
-        (&[tester, bearer_of(0, false, false, 1)], RELEASE_ANY, Some(1)),
+        (&[flood], RELEASE_UNPROVEN_AFTER, Some(0)),
+        (&[candidate(0, false, true, 9)], RELEASE_LIFETIME, None),
+        (&[flood, candidate(0, true, false, 1)], RELEASE_UNPROVEN_AFTER, Some(1)),
+        (&[flood, candidate(0, true, false, 8), candidate(2, true, false, 1)], 0, Some(2)),
+        (&[candidate(1, true, false, 1), candidate(1, true, false, 2)], 0, Some(1)),
+        // A connection that only sent health checks is probably not a viewer's.
+        (&[tester], RELEASE_UNPROVEN_AFTER, None),
+        (&[tester], RELEASE_ANY_AFTER, Some(0)),
+        (&[tester, candidate(0, false, false, 1)], RELEASE_ANY_AFTER, Some(1)),
     ];
-    for (bearers, waited, bears) in table {
-        let there = bearers.iter().enumerate().map(|(i, b)| (i as u64, *b));
-        assert_eq!(bearer(there, waited), bears, "{bearers:?}");
+    for (candidates, waited, chosen) in table {
+        let numbered = candidates.iter().enumerate().map(|(i, b)| (i as u64, *b));
+        assert_eq!(pick_release_connection(numbered, waited), chosen, "{candidates:?}");
     }
 }
 
 #[test]
-fn which_connection_a_set_up_goes_out_on() {
+fn choice_of_a_connection_for_a_set_up() {
     let link = |up, open| Candidate { up, open };
     let table: [(&[Candidate], usize, bool, Pick); 7] = [
         (&[], 32, true, Pick::New),
         (&[], 32, false, Pick::None),
-        (&[link(true, 1), link(true, 0)], 32, true, Pick::Old(1)),
+        (&[link(true, 1), link(true, 0)], 32, true, Pick::Existing(1)),
         (&[link(true, 1)], 32, true, Pick::New),
-        (&[link(true, 2), link(true, 1), link(false, 0)], 32, false, Pick::Old(1)),
-        (&[link(true, 2), link(true, 1), link(true, 3), link(true, 2)], 32, true, Pick::Old(1)),
+        (&[link(true, 2), link(true, 1), link(false, 0)], 32, false, Pick::Existing(1)),
+        (&[link(true, 2), link(true, 1), link(true, 3), link(true, 2)], 32, true, Pick::Existing(1)),
         (&[link(true, 2), link(true, 2), link(true, 2), link(true, 2)], 2, true, Pick::New),
     ];
-    for (links, most, room, picked) in table {
-        assert_eq!(pick(links, most, room), picked, "{links:?}");
+    for (links, max_open, has_capacity, picked) in table {
+        assert_eq!(pick_connection(links, max_open, has_capacity), picked, "{links:?}");
     }
 }
 
 #[test]
-fn set_ups_stay_away_for_longer_after_each_call_and_come_back_soon_where_a_machine_is() {
+fn avoidance_grows_with_failed_calls_and_is_short_after_a_refusal() {
     let table = [(1, false, SECOND), (2, false, 2 * SECOND), (3, false, 4 * SECOND), (99, false, 4 * SECOND)];
-    for (calls, refused, span) in table.into_iter().chain([(1, true, CALL_PAUSE), (9, true, CALL_PAUSE)]) {
-        assert_eq!(lost_for(calls, refused), span, "{calls} {refused}");
+    for (calls, refused, span) in
+        table.into_iter().chain([(1, true, CONNECT_RETRY_PAUSE), (9, true, CONNECT_RETRY_PAUSE)])
+    {
+        assert_eq!(avoidance_time(calls, refused), span, "{calls} {refused}");
     }
 }
 
 #[test]
-fn a_connection_that_carries_nothing_is_closed_well_before_its_server_closes_it() {
-    // Servers close it after; the node does after; whether a set-up goes out on one idle for 3 s.
+fn idle_connections_are_closed_before_the_server_closes_them() {
+    // The servers' idle timeout, the node's, and whether a connection that has been idle for 3 s is used.
     let table = [
         (0, 5 * SECOND, true),
         (15 * SECOND, 5 * SECOND, true),
@@ -99,8 +127,8 @@
         (4 * SECOND, 2 * SECOND, false),
         (100 * MS, 50 * MS, false),
     ];
-    for (stated, closed_after, taken) in table {
-        assert_eq!(idle_timeout(stated), closed_after, "{stated}");
-        assert_eq!(!may_be_closed(10 * SECOND, stated, 13 * SECOND), taken, "{stated}");
+    for (server_timeout, node_timeout, usable) in table {
+        assert_eq!(idle_timeout(server_timeout), node_timeout, "{server_timeout}");
+        assert_eq!(!may_be_closed(10 * SECOND, server_timeout, 13 * SECOND), usable, "{server_timeout}");
     }
 }
--- a/crates/node/tests/recovery.rs
+++ b/crates/node/tests/recovery.rs
@@ -1,19 +1,19 @@
-//! A node that comes back from a power loss, in virtual time: nothing is sent before its phases are over, each viewer hears
-//! at once, and what it sends then is within what cold servers bear.
+//! A node that recovers from a power loss, in virtual time: nothing is sent before its phases are over, each viewer is answered
+//! at once, and what is sent afterwards stays within the budgets of cold servers.
 
 mod world;
 
 use micadyke_isup::{Message, code, kind};
 use micadyke_membership::server_report::ServerReport;
 use micadyke_node::Input;
-use micadyke_node::limits::fleet::RECOVERY;
+use micadyke_node::limits::fleet::RECOVERY_TIMEOUTS;
 use micadyke_recovery::phases::{MembershipEvent, RecoveryPhases};
 use micadyke_recovery::record::{Server, StoredState};
 use micadyke_standin::platform::Seen;
 use std::collections::BTreeMap;
 use world::*;
 
-/// Kept a moment before the start: two others, and a list of this version with a drain of server 0.
+/// Stored a moment before the start: two other members, and a list of this version in which server 0 drains.
 fn kept(version: u64, drained: bool) -> StoredState {
     let server = |n: usize| Server {
         id: format!("s-{n}"),
@@ -32,17 +32,17 @@
 
 fn back(kept: &StoredState, alone: bool) -> World {
     let mut w = World::new(4);
-    let phases = RecoveryPhases::new(RECOVERY, ("n0", 20), kept, START, true, alone, START);
-    w.node.has_others();
-    w.node.recovers(phases, kept);
+    let phases = RecoveryPhases::new(RECOVERY_TIMEOUTS, ("n0", 20), kept, START, true, alone, START);
+    w.node.enable_peers();
+    w.node.start_recovery(phases, kept);
     w
 }
 
 fn lives(w: &mut World, all: &[(&str, u64)]) {
     for (name, start) in all {
-        w.feed(Input::Fleet(&MembershipEvent::Alive((*name).to_owned(), *start)));
+        w.feed(Input::Membership(&MembershipEvent::Alive((*name).to_owned(), *start)));
     }
-    w.feed(Input::Fleet(&MembershipEvent::ViewSettled(true)));
+    w.feed(Input::Membership(&MembershipEvent::ViewSettled(true)));
 }
 
 fn sent(w: &World) -> Vec<(u64, String)> {
@@ -68,7 +68,7 @@
         let asked = START + (id - 1) * 100 * MS;
         assert!(!served && refused && at < asked + 50 * MS, "{id}: {at}");
     }
-    // Both others live under the starts that were kept: it fell alone, and is in service.
+    // Both others are alive with the stored starts: only this node failed, and it starts service.
     lives(&mut w, &[("n1", 11), ("n2", 12)]);
     w.run(200 * MS);
     assert!(w.node.ready());
@@ -76,10 +76,10 @@
     w.run(SECOND);
     assert!(w.answer(100).is_some_and(|a| a.1), "{:?}", w.answer(100));
     assert_eq!(w.broken_rules(), Vec::<String>::new());
-    // Its list is kept for the next time once the bus has spoken.
+    // Its list is stored for the next start once the bus has sent it.
     w.bus(2, false, &row(3, "draining", 0));
     w.run(SECOND);
-    let (version, offset, _, servers) = w.kept.list.clone().expect("kept");
+    let (version, offset, _, servers) = w.saved.list.clone().expect("kept");
     assert_eq!((version, offset, servers.len()), (2, 2, 4));
     assert!(servers.iter().any(|s| s.id == "s-3" && !s.ready));
 }
@@ -94,11 +94,11 @@
     w.run(300 * MS);
     assert_eq!(w.node.counts().links - before, 4, "each server is asked once");
     assert!(!w.node.ready());
-    w.feed(Input::Fleet(&MembershipEvent::ShareLeased));
-    w.feed(Input::Part { always: 0.001, leased: 0.001, span: 60 * SECOND });
+    w.feed(Input::Membership(&MembershipEvent::ShareLeased));
+    w.feed(Input::ColdBudgetShare { guaranteed: 0.001, leased: 0.001, lease_duration: 60 * SECOND });
     w.run(200 * MS);
     assert!(w.node.ready());
-    // A crowd in one window: far fewer are sent than a warm fleet would take.
+    // A crowd in one window: far fewer set-ups are sent than a warm fleet would accept.
     let burst = |w: &mut World, from: u64| {
         (0..60).for_each(|i| w.ask(v, from + i, "free", 4000));
         w.run(50 * MS);
@@ -118,8 +118,8 @@
 fn one_alone_serves_by_the_limits_and_a_lost_bus_is_not_waited_for_longer() {
     let mut w = back(&kept(1, false), false);
     w.bus_up = false;
-    // The servers that are asked answer at once.
-    let all = RECOVERY.list + RECOVERY.view + RECOVERY.parts;
+    // The probed servers answer at once.
+    let all = RECOVERY_TIMEOUTS.list + RECOVERY_TIMEOUTS.view + RECOVERY_TIMEOUTS.parts;
     w.run(all - SECOND);
     assert!(!w.node.ready());
     w.run(2 * SECOND);
@@ -127,24 +127,24 @@
     // Without membership there are no others to wait for, and with a bus nothing else.
     let mut w = back(&kept(1, false), true);
     w.run(SECOND);
-    w.feed(Input::Fleet(&MembershipEvent::ShareLeased));
+    w.feed(Input::Membership(&MembershipEvent::ShareLeased));
     w.run(SECOND);
     assert!(w.node.ready());
 }
 
 #[test]
 fn what_drained_before_is_sent_nothing_until_the_own_list_speaks() {
-    // The kept list is of version 5; the platform hands over an older one in which the server is up.
+    // The stored list is of version 5; the platform provides an older one in which the server is up.
     let kept = kept(5, true);
     let mut w = back(&kept, false);
-    w.run(RECOVERY.list + SECOND);
+    w.run(RECOVERY_TIMEOUTS.list + SECOND);
     lives(&mut w, &[("n1", 11), ("n2", 12)]);
     w.run(200 * MS);
     assert!(w.node.ready());
     let v = w.viewer();
     let ask = |w: &mut World, from: u64| {
         let before = sent(w).len();
-        // Enough that a connection more is worth it.
+        // Enough to make another connection worthwhile.
         for i in 0..400 {
             w.ask(v, from + i, "free", 4000);
             w.run(20 * MS);
@@ -158,8 +158,8 @@
     }
     w.run(SECOND);
     assert!(ask(&mut w, 2000) > 0, "the own list has the last word");
-    // Hearsay from others goes on meanwhile.
-    w.feed(Input::Heard(&ServerReport::Drain { server: "s-1".into(), version: 9 }));
+    // Reports of others are handled meanwhile.
+    w.feed(Input::ServerReport(&ServerReport::Drain { server: "s-1".into(), version: 9 }));
     assert_eq!(w.broken_rules(), Vec::<String>::new());
 }
 
@@ -167,7 +167,7 @@
 fn sessions_that_are_handed_over_meanwhile_are_kept_and_told_of() {
     let mut w = back(&kept(1, false), false);
     let v = w.viewer();
-    // As core.rs does: the session plays at a server already.
+    // As in core.rs: the session already plays at a server.
     let message = Message::new(kind::SETUP, 7)
         .with(code::CLASS, "free")
         .with(code::MAX_WAIT, "4000")
@@ -176,9 +176,9 @@
     let message = message.encode().expect("it fits");
     w.send(v, message);
     w.run(500 * MS);
-    assert_eq!(w.node.held().1, 1);
+    assert_eq!(w.node.session_counts().1, 1);
     lives(&mut w, &[("n1", 11), ("n2", 12)]);
     w.run(200 * MS);
     assert!(w.node.ready());
-    assert_eq!((w.node.held().1, w.node.module().session_count()), (1, 1));
+    assert_eq!((w.node.session_counts().1, w.node.module().session_count()), (1, 1));
 }
--- a/crates/node/tests/room.rs
+++ b/crates/node/tests/room.rs
@@ -1,4 +1,4 @@
-//! Connections of viewers when there are more than a node may hold: who is closed, and who still hears of its sessions.
+//! More viewers' connections than a node may hold: which one is closed, and who still receives releases.
 
 mod world;
 
@@ -6,12 +6,12 @@
 use micadyke_standin::platform::Treat;
 use world::*;
 
-/// What a client sends that connects, and then keeps its connection without ever asking for a session again.
+/// What a client sends that connects and then keeps its connection without requesting a session again.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Crowd {
     Nothing,
     Test,
-    /// A set-up that is answered, and whose session its viewer ends at once.
+    /// A set-up that is answered and whose session its viewer ends at once.
     Briefly,
 }
 
@@ -33,8 +33,8 @@
     }
 }
 
-/// Viewers watch for a while and say nothing, as viewers do; a crowd connects all along, each of which stays. Every session
-/// that ends is released, on the connection that its viewer keeps for it.
+/// Viewers watch for a while without sending anything, while a crowd of clients connects and stays. Every ended session must be
+/// released on the connection that its viewer keeps for it.
 #[test]
 fn a_crowd_that_stays_does_not_cost_viewers_the_end_of_their_sessions() {
     for crowd in [Crowd::Nothing, Crowd::Test, Crowd::Briefly] {
@@ -46,7 +46,7 @@
         }
         w.run(SECOND);
         assert!(viewers.iter().all(|(_, id)| w.answer(*id).is_some_and(|a| a.1)), "{crowd:?}");
-        // 80 a second: three times what the node has room for, before the first session ends.
+        // 80 per second: three times the node's capacity before the first session ends.
         for number in 0..640 {
             crowd.connects(&mut w, number);
             w.run(25 * MS / 2);
@@ -57,11 +57,11 @@
         };
         let unheard: Vec<_> = viewers.iter().filter(unheard).collect();
         assert!(unheard.is_empty(), "{crowd:?}: {} sessions' ends were told elsewhere", unheard.len());
-        assert!(w.node.books()[0] <= 128);
+        assert!(w.node.table_sizes()[0] <= 128);
     }
 }
 
-/// The only connections left are those of clients that merely test the node: a release waits for a viewer that asks.
+/// Only connections of clients that test the node are left: a release waits for a viewer that sends a set-up.
 #[test]
 fn a_release_waits_for_a_connection_that_brings_a_set_up() {
     let mut w = World::new(2);
--- a/crates/node/tests/rules.rs
+++ b/crates/node/tests/rules.rs
@@ -1,4 +1,4 @@
-//! The rules under random events, judged from the record; and every check seen to fail on a node broken on purpose.
+//! The rules under random events, judged from the record; and each check is shown to fail on a deliberately broken node.
 
 mod world;
 
@@ -6,7 +6,7 @@
 use proptest::prelude::*;
 use world::*;
 
-/// One thing that a random day holds.
+/// An element of a random day.
 #[derive(Debug, Clone)]
 enum Happening {
     Ask { class: bool, patience: u64 },
@@ -67,7 +67,7 @@
     let mut drained = std::collections::BTreeSet::new();
     for (gap, h) in day {
         w.run(gap * MS);
-        // One that says nothing for long is closed.
+        // A connection without a message is closed after a while.
         if w.closed.contains_key(&viewer) {
             viewer = w.viewer();
         }
@@ -106,7 +106,7 @@
                 offset += 1;
                 w.bus(offset, false, &row(*s + 100, "up", 0));
             }
-            // One that drained comes back under another id only.
+            // A server that drained comes back only under another id.
             Happening::Restart(s) if drained.contains(s) => {}
             Happening::Restart(s) => {
                 offset += 1;
@@ -127,7 +127,7 @@
     }
     w.refusing.clear();
     (0..SERVERS).for_each(|s| w.back(server_addr(s)));
-    // All is over: patience, sessions, silence.
+    // Everything is over: patience, sessions, timeouts.
     w.run(40 * SECOND);
 }
 
@@ -138,17 +138,17 @@
         let mut w = World::new(SERVERS);
         w.servers.values_mut().for_each(|s| s.usual = Treat::Serve(2 * SECOND));
         play(&mut w, &day);
-        // Releases of sessions whose server is cut off come late; all else is judged.
+        // Releases of sessions at unreachable servers come late; everything else is judged.
         let broken: Vec<String> = w.broken_rules().into_iter().filter(|b| !b.contains("not released")).collect();
         prop_assert_eq!(broken, Vec::<String>::new());
-        // Viewers have gone, sessions have ended or were found over: nothing is left but the last connection.
-        let [viewers, links, servers, sessions, timers, releases] = w.node.books();
-        prop_assert_eq!((w.node.held(), sessions, releases), ((0, 0), 0, 0));
-        prop_assert!(viewers <= 1 && timers <= 4 && links <= servers, "{:?}", w.node.books());
+        // Viewers have left, sessions have ended or were found lost: only the last connection remains.
+        let [viewers, links, servers, sessions, timers, releases] = w.node.table_sizes();
+        prop_assert_eq!((w.node.session_counts(), sessions, releases), ((0, 0), 0, 0));
+        prop_assert!(viewers <= 1 && timers <= 4 && links <= servers, "{:?}", w.node.table_sizes());
     }
 }
 
-/// A day that tries every rule.
+/// A day that exercises every rule.
 fn trying(how: Option<Break>) -> Vec<String> {
     let mut w = match how {
         Some(how) => World::broken(2, how),
--- a/crates/node/tests/settings.rs
+++ b/crates/node/tests/settings.rs
@@ -1,5 +1,5 @@
-//! The core at the edges of what the settings of a deployment may say: nothing in it may lean on how many classes, rungs,
-//! cells or zones there are, or on how long, dear or tight things are. Everything else is drawn.
+//! The core with extreme settings of a deployment: nothing in it may depend on the number of classes, rungs, cells or zones, or
+//! on the size of times, costs and limits. Everything else is random.
 
 mod deployment;
 mod world;
@@ -12,20 +12,20 @@
 use std::collections::BTreeSet;
 use world::*;
 
-/// Days of each edge.
+/// Days for each extreme.
 const DAYS: u64 = 8;
-/// Set-ups that are open when a node is told to stop.
+/// Open set-ups when a node is stopped.
 const OPEN: u64 = 10;
-/// What a stopping node is given beyond the longest deadline, or beyond [`MOST_DEADLINE`] where that is shorter.
+/// The time that a stopping node gets beyond the longest deadline, or beyond [`MOST_DEADLINE`] if that is shorter.
 const BEYOND_DEADLINE: u64 = 700 * MS;
-/// The longest deadline that a stopping node is given.
+/// Upper bound of the deadline that counts for a stopping node.
 const MOST_DEADLINE: u64 = 3 * SECOND;
-/// The stretch of the retry budgets that are stated here.
+/// The window of the retry budgets in these settings.
 const BUDGET_WINDOW: u64 = 10 * SECOND;
-/// A set-up that waits for a connection reaches its server so much after it was decided on, at most.
+/// Maximum time between the decision on a set-up that waits for a connection and its arrival at the server.
 const ON_ITS_WAY: u64 = 3 * SECOND;
 
-/// An edge of what settings may say.
+/// An extreme of the settings.
 struct Edge {
     name: &'static str,
     fixed: Fixed,
@@ -122,7 +122,7 @@
     },
 ];
 
-/// Puts numbers into a part of the settings.
+/// Replaces numbers in a part of the settings.
 fn set(site: &mut Site, part: &str, values: &[(&str, u64)]) {
     values.iter().for_each(|(key, value)| site.settings[part][*key] = (*value).into());
 }
@@ -131,7 +131,7 @@
     site.settings["classes"].as_array_mut().expect("classes").iter_mut().for_each(what);
 }
 
-/// Classes wait so many milliseconds, by turns.
+/// The classes' deadlines in milliseconds, in rotation.
 fn deadlines(site: &mut Site, ms: &[u64]) {
     let mut turns = ms.iter().cycle().map(|ms| ms * MS);
     site.classes.iter_mut().for_each(|c| c.deadline = turns.next().unwrap_or(0));
@@ -143,7 +143,7 @@
     });
 }
 
-/// States a budget of further attempts, spare ones and a share, or none.
+/// Sets a retry budget with spare attempts and a share, or none.
 fn budget(site: &mut Site, stated: Option<(f64, f64)>) {
     let mut rules = site.settings["rules"].as_object().cloned().unwrap_or_default();
     rules.retain(|key, _| !["counted_over_ns", "spare_attempts", "budget_share"].contains(&key.as_str()));
@@ -155,7 +155,7 @@
     site.settings["rules"] = rules.into();
 }
 
-/// Puts a field that nobody knows into each object, and into lists of such.
+/// Adds an unknown field to each object and to the objects of lists.
 fn unknown(value: &mut Value) {
     match value {
         Value::Object(fields) => {
@@ -167,7 +167,7 @@
     }
 }
 
-/// Further attempts past the stated budget.
+/// Retries beyond the budget.
 fn over_budget(site: &Site, record: &Record) -> Vec<String> {
     let rules = &site.settings["rules"];
     let (Some(spare), Some(share)) = (rules["spare_attempts"].as_f64(), rules["budget_share"].as_f64())
@@ -185,7 +185,7 @@
                 further.push(*at);
                 let within =
                     |times: &[u64], span: u64| times.iter().filter(|t| **t + span > *at).count() as f64;
-                // What was decided within the stretch arrived within one that is this much shorter.
+                // What was decided within the window arrived within one that is shorter by this time.
                 let sent = within(&further, BUDGET_WINDOW - ON_ITS_WAY);
                 let room = spare + share * within(&asked, BUDGET_WINDOW + ON_ITS_WAY);
                 if sent > room {
@@ -198,7 +198,7 @@
     over
 }
 
-/// Stops a node that is owed answers: by the time at which it may be killed it has told them all and may end.
+/// Stops a node with unanswered set-ups: by the time at which it may be killed, all are answered and it may end.
 fn stopped(site: &Site, w: &mut World) -> Vec<String> {
     let longest = site.classes.iter().map(|c| c.deadline).max().unwrap_or(0);
     for server in w.servers.values_mut() {
@@ -234,8 +234,12 @@
         .filter(|id| w.answer(**id).is_none())
         .map(|id| format!("{id}: no answer by the end"))
         .collect();
-    if !w.node.done(w.now) {
-        broken.push(format!("it goes on, {:?} held, {:?} in the books", w.node.held(), w.node.books()));
+    if !w.node.may_end(w.now) {
+        broken.push(format!(
+            "it goes on, {:?} held, {:?} in the books",
+            w.node.session_counts(),
+            w.node.table_sizes()
+        ));
     }
     broken
 }
@@ -278,7 +282,7 @@
 
 #[test]
 fn what_is_refused_at_the_door_is_advised_as_the_settings_allow() {
-    // Whether clients are advised, the longest wait that they obey, and what they are told, in milliseconds.
+    // Whether clients get retry delays, the longest delay that they obey, and the sent delay, in milliseconds.
     let table = [
         (true, 2 * SECOND, Some("1000")),
         (true, 300 * MS, Some("300")),
--- a/crates/node/tests/world/mod.rs
+++ b/crates/node/tests/world/mod.rs
@@ -1,4 +1,4 @@
-//! A node in virtual time between scripted viewers, stand-in servers and an event bus, and the record of what crossed.
+//! A node in virtual time between scripted viewers, stand-in servers and an event bus, with a record of the traffic.
 
 #![allow(dead_code)]
 
@@ -8,7 +8,7 @@
 use micadyke::decide::Controller;
 use micadyke_isup::{Frame, Message, code, kind};
 use micadyke_membership::server_report::ServerReport;
-use micadyke_node::config::{Config, read};
+use micadyke_node::config::{Config, from_json};
 use micadyke_node::{ConnId, Input, Node, Output};
 use micadyke_recovery::record::StoredState;
 use micadyke_standin::platform::{Act, MediaServer, Record, Seen, Treat, bus_event, verdict};
@@ -19,7 +19,7 @@
 pub const SECOND: u64 = 1_000 * MS;
 /// Unix time at which every test starts.
 pub const START: u64 = 1_800_000_000 * SECOND;
-/// One way between any two.
+/// One-way delay between any two parties.
 const WAY: u64 = MS;
 
 pub const SETTINGS: &str = include_str!("../../../../fixtures/node/settings.json");
@@ -41,27 +41,27 @@
         r#"{{"name":"n0","listen":"127.0.0.1:2905","seed":"8c1f30d27a5be964","limits":{{"cores":1,"memory_mb":32,"sockets":{sockets}}},"bus":"127.0.0.2:4222","known":{{"offset":1,"batch":[{{"offset":1,"topology":{{"version":1,"full":true,"servers":[{}]}}}}]}},"settings":{SETTINGS}}}"#,
         rows.join(",")
     );
-    read(&text).expect("the configuration is sound")
+    from_json(&text).expect("the configuration is sound")
 }
 
-/// How the way between node and world is broken on purpose.
+/// Deliberate faults between node and world.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Break {
-    /// Answers reach viewers twice.
+    /// Viewers receive answers twice.
     Twice,
-    /// Answers reach nobody.
+    /// Answers are dropped.
     Mute,
     /// Descriptions are changed.
     Forged,
-    /// Withdrawals get lost.
+    /// Withdrawals are dropped.
     Overlap,
-    /// The node is not told of drains.
+    /// The node does not receive drains.
     Drains,
-    /// Rungs are left out of set-ups.
+    /// Rungs are omitted from set-ups.
     Floors,
-    /// Failures of paid set-ups are worded as refusals.
+    /// Failures of paid set-ups are sent as refusals.
     Refusals,
-    /// Releases of sessions that stood get lost.
+    /// Releases of sessions that played are dropped.
     Releases,
 }
 
@@ -83,36 +83,36 @@
     pub now: u64,
     pub node: Node<Controller>,
     pub record: Record,
-    /// What the node would have the others hear.
-    pub news: Vec<ServerReport>,
-    /// What it would have kept.
-    pub kept: StoredState,
-    /// What it told a directory.
-    pub booked: Vec<(micadyke_directory::Session, bool)>,
-    pub left: Vec<(micadyke_directory::Key, u64)>,
+    /// Reports of the node to other nodes.
+    pub reports: Vec<ServerReport>,
+    /// The state that the node saved.
+    pub saved: StoredState,
+    /// Sessions that the node reported to the directory.
+    pub indexed: Vec<(micadyke_directory::Session, bool)>,
+    pub sessions_left: Vec<(micadyke_directory::Key, u64)>,
     pub servers: BTreeMap<SocketAddr, MediaServer>,
     /// Nothing listens there.
     pub refusing: BTreeSet<SocketAddr>,
-    /// Nothing comes from or goes there.
+    /// Unreachable in both directions.
     pub vanished: BTreeSet<SocketAddr>,
-    /// Calls of servers.
+    /// Connection attempts to servers.
     pub calls: Vec<(u64, SocketAddr)>,
-    /// Connections of the node to servers, where to, and how many bytes were written.
+    /// The node's connections to servers, their address, and how many bytes were written.
     links: BTreeMap<u64, (SocketAddr, bool, u64)>,
-    /// What connections to servers take.
+    /// The bytes that connections to servers accept.
     pub windows: windows::Windows,
     viewers: BTreeMap<u64, micadyke_isup::Parser>,
-    /// What each connection of viewers was sent, and when it was closed by the node.
+    /// The messages sent on each viewer's connection, and when the node closed it.
     pub told: BTreeMap<u64, Vec<(u64, Message)>>,
     pub closed: BTreeMap<u64, u64>,
     served: BTreeSet<u64>,
     paid: BTreeSet<u64>,
-    /// Calls of the bus: connection, last event id.
+    /// Connections to the bus and their last event ids.
     pub bus_calls: Vec<(u64, u64)>,
     pub bus_up: bool,
-    /// Calls of the bus that come up and stay without an answer.
+    /// Number of connections to the bus that are established but not answered.
     pub bus_hangs: u32,
-    /// When the bus was called, and where.
+    /// When the bus was connected to, and at which address.
     pub bus_asked: Vec<(u64, SocketAddr)>,
     bus_open: bool,
     bus_log: Vec<(u64, Vec<u8>)>,
@@ -120,7 +120,7 @@
     seq: u64,
     next_viewer: u64,
     sabotage: Option<Break>,
-    /// What could not be carried to or from machines out of reach.
+    /// What could not be delivered to or from unreachable machines.
     held: Vec<(SocketAddr, Ev)>,
 }
 
@@ -143,10 +143,10 @@
         World {
             now: START,
             node: Node::new(&config, module, START),
-            news: Vec::new(),
-            kept: StoredState::default(),
-            booked: Vec::new(),
-            left: Vec::new(),
+            reports: Vec::new(),
+            saved: StoredState::default(),
+            indexed: Vec::new(),
+            sessions_left: Vec::new(),
             record: Vec::new(),
             servers: made.collect(),
             refusing: BTreeSet::new(),
@@ -198,7 +198,7 @@
         self.at(self.now, Ev::ViewerCloses(conn));
     }
 
-    /// A set-up's message.
+    /// Encodes a set-up.
     pub fn set_up(id: u64, class: &str, patience_ms: u64) -> Message {
         Message::new(kind::SETUP, id)
             .with(code::CLASS, class)
@@ -223,12 +223,12 @@
         self.send(conn, Message::new(kind::RELEASE, id).with_cause(16).encode().unwrap());
     }
 
-    /// The bus tells; a node that is not connected hears it when it asks.
+    /// The bus sends an event; a node that is not connected receives it when it connects.
     pub fn bus(&mut self, offset: u64, full: bool, rows: &str) {
         self.bus_raw(offset, bus_event(offset, full, rows));
     }
 
-    /// The same with an event's bytes as the test has them.
+    /// The same with the bytes of an event.
     pub fn bus_raw(&mut self, offset: u64, bytes: Vec<u8>) {
         if self.bus_open {
             self.bus_bytes(&bytes);
@@ -236,14 +236,14 @@
         self.bus_log.push((offset, bytes));
     }
 
-    /// What the bus says each second while its stream is open.
+    /// The comment that the bus sends each second while its stream is open.
     pub fn bus_comment(&mut self) {
         if self.bus_open {
             self.bus_bytes(b":\n\n");
         }
     }
 
-    /// The bus says nothing more on the stream that is open, and does not close it.
+    /// The bus sends nothing more on the open stream and does not close it.
     pub fn stop_bus(&mut self) {
         self.bus_open = false;
     }
@@ -268,13 +268,13 @@
         }
     }
 
-    /// Connections to a server are reset.
+    /// Resets the connections to a server.
     pub fn reset(&mut self, server: SocketAddr) {
         let conns: Vec<u64> = self.links.iter().filter(|l| l.1.0 == server).map(|l| *l.0).collect();
         conns.into_iter().for_each(|c| self.at(self.now, Ev::ServerCloses(c)));
     }
 
-    /// A machine is in reach again: what it sent arrives, connections that it was sent something on are reset.
+    /// A machine is reachable again: what it sent arrives, and connections on which something was sent to it are reset.
     pub fn back(&mut self, addr: SocketAddr) {
         self.vanished.remove(&addr);
         let (now, later): (Vec<_>, Vec<_>) =
@@ -286,7 +286,7 @@
         }
     }
 
-    /// A server that was narrowed reads again.
+    /// A narrowed server reads again.
     pub fn widen(&mut self, server: SocketAddr) {
         let conns: Vec<u64> = self.links.iter().filter(|l| l.1.0 == server).map(|l| *l.0).collect();
         for (conn, rest) in self.windows.widen(server, &conns) {
@@ -305,10 +305,10 @@
         self.links.values().filter(|l| l.0 == server && l.1).count()
     }
 
-    /// Lets time go by.
+    /// Advances time.
     pub fn run(&mut self, span: u64) {
         let until = self.now + span;
-        self.feed(Input::Wake);
+        self.feed(Input::Timer);
         loop {
             let event = self.events.first_key_value().map(|(k, _)| k.0);
             let server = self.servers.values().filter_map(MediaServer::wake_at).min();
@@ -328,7 +328,7 @@
                     self.acts(addr, acts);
                 }
             } else {
-                self.feed(Input::Wake);
+                self.feed(Input::Timer);
             }
         }
         self.now = until;
@@ -349,7 +349,7 @@
     fn happen(&mut self, ev: Ev) {
         match ev {
             Ev::Do(what) => what(self),
-            Ev::ViewerOpens(conn) => self.feed(Input::ViewerOpened { conn: ConnId(conn) }),
+            Ev::ViewerOpens(conn) => self.feed(Input::ViewerConnected { conn: ConnId(conn) }),
             Ev::ViewerSends(conn, bytes) if self.viewers.contains_key(&conn) => {
                 self.feed(Input::Data { conn: ConnId(conn), bytes: &bytes });
             }
@@ -368,7 +368,7 @@
                     let acts = s.opened(conn);
                     self.acts(addr, acts);
                 }
-                self.feed(Input::Up { conn: ConnId(conn) });
+                self.feed(Input::Connected { conn: ConnId(conn) });
             }
             Ev::Refused(conn) => {
                 if self.links.remove(&conn).is_some() {
@@ -411,10 +411,10 @@
 
     fn carry_out(&mut self, output: Output) {
         match output {
-            Output::Tell(news) => self.news.push(news),
-            Output::Keep(record) => self.kept.apply_record(record),
-            Output::Booked { session, started } => self.booked.push((session, started)),
-            Output::Left { what, sessions } => self.left.push((what, sessions)),
+            Output::NotifyPeers(report) => self.reports.push(report),
+            Output::Save(record) => self.saved.apply_record(record),
+            Output::IndexSession { session, playing } => self.indexed.push((session, playing)),
+            Output::SessionsLeft { key, count } => self.sessions_left.push((key, count)),
             Output::Write { conn, mut bytes } => {
                 if let Some(link) = self.links.get_mut(&conn.0) {
                     bytes = self.windows.offer(link.0, conn.0, bytes);
@@ -426,7 +426,7 @@
                         bytes =
                             String::from_utf8_lossy(&bytes).replace("Rate-Step", "X-Nothing").into_bytes();
                     }
-                    // A machine out of reach reads no withdrawal: what counts is that it was written.
+                    // An unreachable machine reads no withdrawal: what counts is that it was written.
                     let addr = link.0;
                     if self.vanished.contains(&addr) && bytes.starts_with(b"TEARDOWN") {
                         let (now, record) = (self.now, &mut self.record);
@@ -463,14 +463,14 @@
                     self.at(self.now + 2 * WAY, Ev::Connected(conn.0));
                 }
             }
-            Output::Listen { conn, addr, last } => {
+            Output::Subscribe { conn, addr, last } => {
                 self.bus_calls.push((conn.0, last));
                 self.bus_asked.push((self.now, addr));
                 self.bus_open = self.bus_up && self.bus_hangs == 0;
                 if self.bus_hangs > 0 {
                     self.bus_hangs -= 1;
                 } else if self.bus_up {
-                    self.later(WAY, move |w| w.feed(Input::Up { conn }));
+                    self.later(WAY, move |w| w.feed(Input::Connected { conn }));
                     let missed = self.bus_log.iter().filter(|e| e.0 > last).map(|e| e.1.clone());
                     let missed: Vec<u8> = missed.flatten().collect();
                     if !missed.is_empty() {
@@ -480,7 +480,7 @@
                     self.at(self.now + WAY, Ev::NodeHears(conn.0));
                 }
             }
-            Output::Pause { .. } => {}
+            Output::PauseReading { .. } => {}
         }
     }
 
@@ -529,7 +529,7 @@
         }
     }
 
-    /// The final answer of a set-up as its viewer saw it.
+    /// The final answer of a set-up as its viewer received it.
     pub fn answer(&self, id: u64) -> Option<(u64, bool, bool)> {
         self.record.iter().find_map(|(at, s)| match s {
             Seen::Answered { id: i, description, refused } if *i == id => {
