--- a/crates/front/src/shell.rs
+++ b/crates/front/src/shell.rs
@@ -508,7 +508,7 @@
                 Ok(None) => None,
                 Err(fault) => Some((fault.status, fault.what)),
             };
-            let until = if parser.midway() {
+            let until = if parser.is_mid_message() {
                 *due.get_or_insert_with(|| Instant::now() + Duration::from_nanos(self.config.bounds.read))
             } else {
                 idle
@@ -523,7 +523,7 @@
                     match tokio::time::timeout_at(until.into(), read_some(stream, |b| parser.feed(b))).await {
                         Ok(Ok(n)) if n > 0 => continue,
                         Ok(_) => return None,
-                        Err(_) if parser.midway() => (408, "the request did not come in time"),
+                        Err(_) if parser.is_mid_message() => (408, "the request did not come in time"),
                         Err(_) => return None,
                     }
                 }
--- a/crates/http/src/bounds.rs
+++ b/crates/http/src/bounds.rs
@@ -1,15 +1,15 @@
-//! Bounds on what a peer may send, and the refusal of what passes them or is no message.
+//! Limits on what a peer may send, and the error for messages that are invalid or exceed them.
 
-/// Bounds on what a peer may send.
+/// Limits on what a peer may send.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Limits {
-    /// Bytes of the first line.
+    /// Maximum bytes of the first line.
     pub line: usize,
-    /// Bytes of the head: first line and all fields.
+    /// Maximum bytes of the head: first line and all fields.
     pub head: usize,
-    /// Number of fields.
+    /// Maximum number of fields.
     pub fields: usize,
-    /// Bytes of the content.
+    /// Maximum bytes of the content.
     pub body: usize,
 }
 
@@ -19,12 +19,12 @@
     }
 }
 
-/// Why a message is refused: the status that a server answers with, and what is wrong.
+/// Why a message is rejected: the status that a server answers with, and a description.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Fault {
     /// Status code of the answer.
     pub status: u16,
-    /// What is wrong.
+    /// A description of the error; servers send it in the answer.
     pub what: &'static str,
 }
 
--- a/crates/http/src/client.rs
+++ b/crates/http/src/client.rs
@@ -1,4 +1,4 @@
-//! A thin tokio layer for the client role: one connection, one request out at a time.
+//! A thin tokio client: one connection with one request in flight at a time.
 
 use crate::message::{Method, Request, Response};
 use crate::parse::{Fault, Limits, ResponseParser};
@@ -7,14 +7,14 @@
 use tokio::io::AsyncWriteExt;
 use tokio::net::TcpStream;
 
-/// Why a call brought no answer.
+/// Why a call failed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CallError {
-    /// No connection came about; nothing was sent.
+    /// No connection could be established; nothing was sent.
     NoConnection,
-    /// The connection broke before the whole answer was there; the peer may have acted.
+    /// The connection was closed before the complete response; the peer may have executed the request.
     Reset,
-    /// The answer breaks the protocol or a bound.
+    /// The response violates the protocol or a limit.
     Malformed(Fault),
 }
 
@@ -35,7 +35,7 @@
         Ok(Connection { stream, parser: ResponseParser::new(limits), host: addr.to_string() })
     }
 
-    /// Whether the connection is quiet and still open, so that a further request may go out on it.
+    /// Whether the connection is open and idle, so that another request may be sent on it.
     pub fn reusable(&self) -> bool {
         let mut byte = [0u8; 1];
         let quiet =
@@ -43,8 +43,7 @@
         quiet && self.parser.idle()
     }
 
-    /// Sends a request and reads its answer. After an error, or an answer that is not kept alive, the connection
-    /// is of no further use.
+    /// Sends a request and reads its response. The connection can't be used after an error or a response without keep-alive.
     pub async fn call(&mut self, request: &Request) -> Result<Response, CallError> {
         self.parser.expect(request.method == Method::Head, false);
         self.write(request).await?;
@@ -68,7 +67,7 @@
         }
     }
 
-    /// Sends a request whose answer is a stream; the head is returned, content follows by [`Self::chunk`].
+    /// Sends a request whose response is a stream and returns the head. The content is returned by [`Self::chunk`].
     pub async fn open_stream(&mut self, request: &Request) -> Result<Response, CallError> {
         self.parser.expect(false, true);
         self.write(request).await?;
@@ -86,7 +85,7 @@
                 return Ok(None);
             }
             match read_some(&self.stream, |b| self.parser.feed(b)).await {
-                // Content that says where it ends and did not come to it was cut off (RFC 9112 section 8).
+                // Content with an explicit end that was not reached is incomplete (RFC 9112 section 8).
                 Ok(0) if self.parser.stream_is_framed() => return Err(CallError::Reset),
                 Ok(0) => return Ok(None),
                 Err(_) => return Err(CallError::Reset),
@@ -96,8 +95,8 @@
     }
 }
 
-/// Waits until a connection has bytes, hands them over and says how many; 0: it was closed. The buffer lives on
-/// the stack for the read alone, so a connection that waits holds none.
+/// Waits for bytes on a connection, passes them to `take` and returns their number; 0 means that the connection was closed.
+/// The buffer is on the stack during the read only, so a waiting connection has none.
 pub async fn read_some(stream: &TcpStream, mut take: impl FnMut(&[u8])) -> std::io::Result<usize> {
     loop {
         stream.readable().await?;
--- a/crates/http/src/fields.rs
+++ b/crates/http/src/fields.rs
@@ -1,4 +1,4 @@
-//! Published header fields: links (RFC 8288), entity tags (RFC 9110), waits (RFC 7240), load reports (ORCA).
+//! Standard header fields: links (RFC 8288), entity tags (RFC 9110), wait preferences (RFC 7240), load reports (ORCA).
 
 /// One link of a `Link` field.
 #[derive(Debug, Default, Clone, PartialEq, Eq)]
@@ -10,7 +10,7 @@
 }
 
 impl Link {
-    /// A link of a relation.
+    /// Creates a link with a relation type.
     pub fn new(target: impl Into<String>, rel: &str) -> Self {
         Link { target: target.into(), params: vec![("rel".into(), rel.into())] }
     }
@@ -34,7 +34,7 @@
         out
     }
 
-    /// Reads the links of one field value; what is no link ends the reading. At most `limit` links are read.
+    /// Parses the links of a field value, at most `limit`. Parsing stops at the first invalid link.
     pub fn parse(mut text: &str, limit: usize) -> Vec<Link> {
         let mut links = Vec::new();
         while links.len() < limit {
@@ -84,7 +84,7 @@
     }
 }
 
-/// What an `If-Match` field asks for (RFC 9110 section 13.1.1).
+/// An `If-Match` field (RFC 9110 section 13.1.1).
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum IfMatch {
     /// Any current representation.
@@ -94,7 +94,7 @@
 }
 
 impl IfMatch {
-    /// Reads a field's value; `None` where it is no list of tags. Weak tags never match and are left out.
+    /// Parses a field value; `None` if it is not a list of tags. Weak tags never match and are omitted.
     pub fn parse(text: &str) -> Option<Self> {
         let text = text.trim();
         if text == "*" {
@@ -114,7 +114,7 @@
         Some(IfMatch::Tags(tags))
     }
 
-    /// Whether a current tag satisfies it.
+    /// Whether the condition holds for the current tag.
     pub fn holds(&self, current: &str) -> bool {
         match self {
             IfMatch::Any => true,
@@ -132,8 +132,8 @@
     value.split([',', ';']).find_map(wait)
 }
 
-/// A load report: the `endpoint-load-metrics` field of the Open Request Cost Aggregation format, in its TEXT
-/// form (`TEXT name=value, ...`). Figures that are no numbers are left out.
+/// A load report: the `endpoint-load-metrics` field of the Open Request Cost Aggregation format, in its TEXT form
+/// (`TEXT name=value, ...`). Values that are not numbers are omitted.
 #[derive(Debug, Default, Clone, PartialEq)]
 pub struct LoadReport(pub Vec<(String, f64)>);
 
@@ -141,7 +141,7 @@
     /// Name of the header field and of the event.
     pub const FIELD: &'static str = "endpoint-load-metrics";
 
-    /// Reads a field's value; `None` where it is not in the TEXT form.
+    /// Parses a field value; `None` if it is not in the TEXT form.
     pub fn parse(text: &str) -> Option<Self> {
         let rest = text.trim().strip_prefix("TEXT")?;
         if !rest.starts_with([' ', '\t']) {
@@ -155,7 +155,7 @@
         Some(LoadReport(rest.split(',').take(32).filter_map(one).collect()))
     }
 
-    /// A figure by its name.
+    /// The value with this name.
     pub fn get(&self, name: &str) -> Option<f64> {
         self.0.iter().find(|(n, _)| n == name).map(|(_, v)| *v)
     }
--- a/crates/http/src/head.rs
+++ b/crates/http/src/head.rs
@@ -1,52 +1,53 @@
-//! Heads of messages as HTTP/1.1 and RTSP share them: lines that end in CRLF, fields of a name and a value, an empty
-//! line. Incremental, bounded and strict.
+//! Incremental, bounded and strict parsing of message heads, which HTTP/1.1 and RTSP share: lines that end in CRLF, fields
+//! with a name and a value, and an empty line.
 
 use crate::bounds::{Fault, Limits};
 use crate::message::Headers;
 
-/// A refusal.
+/// Returns an error with this status and description.
 pub fn fault<T>(status: u16, what: &'static str) -> Result<T, Fault> {
     Err(Fault { status, what })
 }
 
-/// The buffer of a connection: `at` bytes are used up, `seen` were searched for the end of a line or head.
+/// The receive buffer of a connection: the first `consumed` bytes are used up, the first `scanned` were searched for the end
+/// of a line or head.
 #[derive(Debug, Default)]
 pub struct Buffer {
     bytes: Vec<u8>,
-    at: usize,
-    seen: usize,
+    consumed: usize,
+    scanned: usize,
 }
 
 impl Buffer {
-    /// Takes bytes as they were read.
+    /// Appends received bytes.
     pub fn feed(&mut self, bytes: &[u8]) {
         self.bytes.extend_from_slice(bytes);
     }
 
-    /// Bytes that are not used up.
+    /// The bytes that are not yet consumed.
     pub fn rest(&self) -> &[u8] {
-        &self.bytes[self.at..]
+        &self.bytes[self.consumed..]
     }
 
-    /// Uses bytes up.
+    /// Consumes `n` bytes.
     pub fn take(&mut self, n: usize) {
-        self.at += n;
-        self.seen = self.at;
-        if self.at == self.bytes.len() {
+        self.consumed += n;
+        self.scanned = self.consumed;
+        if self.consumed == self.bytes.len() {
             self.bytes.clear();
-            (self.at, self.seen) = (0, 0);
-        } else if self.at > 16 << 10 {
-            self.bytes.drain(..self.at);
-            (self.at, self.seen) = (0, 0);
+            (self.consumed, self.scanned) = (0, 0);
+        } else if self.consumed > 16 << 10 {
+            self.bytes.drain(..self.consumed);
+            (self.consumed, self.scanned) = (0, 0);
         }
     }
 
-    /// Length of the head up to and including its empty line, if it is all there.
+    /// The length of the head including its empty line, if it has been received completely.
     pub fn head(&mut self, limits: &Limits) -> Result<Option<usize>, Fault> {
-        let from = self.seen.max(self.at + 3) - 3;
+        let from = self.scanned.max(self.consumed + 3) - 3;
         let found = self.bytes[from..].windows(4).position(|w| w == b"\r\n\r\n");
-        let length = found.map_or(self.rest().len(), |p| from + p + 4 - self.at);
-        self.seen = self.bytes.len();
+        let length = found.map_or(self.rest().len(), |p| from + p + 4 - self.consumed);
+        self.scanned = self.bytes.len();
         let line = self.rest().iter().take(limits.line + 1).position(|&b| b == b'\n');
         if line.is_none() && self.rest().len() > limits.line {
             return fault(414, "the first line is too long");
@@ -55,22 +56,23 @@
             return fault(431, "the head is too long");
         }
         // A bare LF never ends a line here; waiting for CRLF would hang on a peer that sends none.
-        let end = self.at + length;
-        let bare = |i: &usize| self.bytes[*i] == b'\n' && (*i == self.at || self.bytes[*i - 1] != b'\r');
-        if (from.max(self.at)..end).any(|i| bare(&i)) {
+        let end = self.consumed + length;
+        let bare =
+            |i: &usize| self.bytes[*i] == b'\n' && (*i == self.consumed || self.bytes[*i - 1] != b'\r');
+        if (from.max(self.consumed)..end).any(|i| bare(&i)) {
             return fault(400, "a line ends in a bare LF");
         }
         Ok(found.map(|_| length))
     }
 
-    /// The next line without its CRLF, and how many bytes it takes.
+    /// The length of the next line without its CRLF, if it has been received completely.
     pub(crate) fn line(&mut self, limit: usize, what: &'static str) -> Result<Option<usize>, Fault> {
-        let from = self.seen.max(self.at);
+        let from = self.scanned.max(self.consumed);
         let Some(p) = self.bytes[from..].iter().position(|&b| b == b'\n') else {
-            self.seen = self.bytes.len();
+            self.scanned = self.bytes.len();
             return if self.rest().len() > limit { fault(400, what) } else { Ok(None) };
         };
-        let length = from + p - self.at;
+        let length = from + p - self.consumed;
         if length > limit {
             return fault(400, what);
         }
@@ -81,7 +83,7 @@
     }
 }
 
-/// Whether a byte may stand in a token (RFC 9110 section 5.6.2).
+/// Whether a byte is allowed in a token (RFC 9110 section 5.6.2).
 pub fn is_token(b: u8) -> bool {
     b.is_ascii_alphanumeric() || b"!#$%&'*+-.^_`|~".contains(&b)
 }
@@ -97,13 +99,13 @@
 pub fn status_code(rest: &[u8]) -> Option<u16> {
     let digits = rest.strip_prefix(b" ")?;
     let (digits, after) = digits.split_at(digits.len().min(3));
-    let sound = digits.len() == 3
+    let is_valid = digits.len() == 3
         && digits.iter().all(u8::is_ascii_digit)
         && after.first().is_none_or(|&b| b == b' ');
-    sound.then(|| digits.iter().fold(0, |a, &d| a * 10 + u16::from(d - b'0')))
+    is_valid.then(|| digits.iter().fold(0, |a, &d| a * 10 + u16::from(d - b'0')))
 }
 
-/// Parses the fields of a head, without its first line but with its empty last one.
+/// Parses the fields of a head, given without its first line but including the empty last one.
 pub fn fields(mut lines: &[u8], limits: &Limits) -> Result<Headers, Fault> {
     let mut headers = Headers::default();
     while lines != b"\r\n" {
--- a/crates/http/src/lib.rs
+++ b/crates/http/src/lib.rs
@@ -1,8 +1,8 @@
-//! HTTP/1.1 as the front speaks it: incremental parsing and framing without I/O ([`message`], [`parse`]),
-//! the published headers it needs ([`fields`]), server-sent events ([`sse`]) and a thin tokio layer ([`client`]).
+//! HTTP/1.1: incremental parsing and framing without I/O ([`message`], [`parse`]), standard header fields ([`fields`]),
+//! server-sent events ([`sse`]) and a thin tokio client ([`client`]).
 //!
-//! Everything that a peer can make grow has a bound in [`Limits`]; passing a bound is an error with a status,
-//! never a silent cut.
+//! [`Limits`] bounds everything that depends on the peer. Exceeding a limit is an error with a status code; nothing is
+//! silently truncated.
 #![warn(missing_docs)]
 
 pub mod bounds;
--- a/crates/http/src/message.rs
+++ b/crates/http/src/message.rs
@@ -1,4 +1,4 @@
-//! Requests and responses as values, and their bytes on the wire (RFC 9112).
+//! Requests and responses and their encoding (RFC 9112).
 
 use std::fmt::Write as _;
 
@@ -13,12 +13,12 @@
     Patch,
     Delete,
     Options,
-    /// A token that is none of the above.
+    /// Any other token.
     Other,
 }
 
 impl Method {
-    /// The method that a token names.
+    /// The method with this token.
     pub fn of(token: &[u8]) -> Self {
         match token {
             b"GET" => Method::Get,
@@ -32,7 +32,7 @@
         }
     }
 
-    /// Its token; `Other` is never sent.
+    /// The token of the method; `Other` is never sent.
     pub fn token(self) -> &'static str {
         match self {
             Method::Get => "GET",
@@ -47,7 +47,7 @@
     }
 }
 
-/// Header fields in their order; names are kept in lower case.
+/// Header fields in order; names are stored in lower case.
 #[derive(Debug, Default, Clone, PartialEq, Eq)]
 pub struct Headers(pub Vec<(String, String)>);
 
@@ -67,13 +67,13 @@
         self.0.push((name.into(), value.into()));
     }
 
-    /// Whether a comma-separated list field holds a token, without regard to case.
+    /// Whether a comma-separated list field contains a token, ignoring case.
     pub fn lists(&self, name: &str, token: &str) -> bool {
         self.all(name).flat_map(|v| v.split(',')).any(|t| t.trim().eq_ignore_ascii_case(token))
     }
 }
 
-/// A whole request.
+/// A request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Request {
     /// The method.
@@ -84,7 +84,7 @@
     pub headers: Headers,
     /// The content.
     pub body: Vec<u8>,
-    /// The connection may carry a further request.
+    /// Whether the connection may be used for another request.
     pub keep_alive: bool,
 }
 
@@ -117,7 +117,7 @@
         media_type(&self.headers)
     }
 
-    /// The bytes on the wire, sent to `host`.
+    /// Encodes the request for `host`.
     pub fn encode(&self, host: &str) -> Vec<u8> {
         let mut head = String::with_capacity(128 + self.headers.0.len() * 40);
         let _ = write!(head, "{} {} HTTP/1.1\r\nhost: {host}\r\n", self.method.token(), self.target);
@@ -129,7 +129,7 @@
     }
 }
 
-/// A whole response.
+/// A response.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Response {
     /// The status code.
@@ -138,7 +138,7 @@
     pub headers: Headers,
     /// The content.
     pub body: Vec<u8>,
-    /// The connection may carry a further request.
+    /// Whether the connection may be used for another request.
     pub keep_alive: bool,
 }
 
@@ -148,7 +148,7 @@
         Response { status, headers: Headers::default(), body: Vec::new(), keep_alive: true }
     }
 
-    /// A problem told in one line of text.
+    /// An error response with one line of text.
     pub fn problem(status: u16, what: &str) -> Self {
         Response::new(status).content("text/plain; charset=utf-8", format!("{what}\n"))
     }
@@ -170,7 +170,7 @@
         media_type(&self.headers)
     }
 
-    /// The bytes on the wire; `head` answers a HEAD request: the length of the content but none of it.
+    /// Encodes the response. `head_only` is for HEAD requests: the content's length without the content.
     pub fn encode(&self, head_only: bool) -> Vec<u8> {
         let mut head = self.head();
         if self.status >= 200 && self.status != 204 && self.status != 304 {
@@ -210,16 +210,16 @@
     Some(kind.split(';').next().unwrap_or("").trim().to_ascii_lowercase())
 }
 
-/// Appends header fields to a head, a line each.
+/// Appends header fields to a head, one per line.
 pub fn fields(head: &mut String, headers: &Headers) {
     for (name, value) in &headers.0 {
-        // A line break inside a value would start a field of its own: it is left out, with what follows it.
+        // A line break inside a value would start a new field, so the value is truncated there.
         let value = value.split(['\r', '\n', '\0']).next().unwrap_or("");
         let _ = write!(head, "{name}: {value}\r\n");
     }
 }
 
-/// The bytes of a message: its head so far, the empty line, its content.
+/// Completes a message: the head, an empty line and the content.
 pub fn finish(head: String, body: &[u8]) -> Vec<u8> {
     let mut bytes = head.into_bytes();
     bytes.extend_from_slice(b"\r\n");
--- a/crates/http/src/parse.rs
+++ b/crates/http/src/parse.rs
@@ -1,15 +1,15 @@
 //! Incremental parsing and framing of HTTP/1.1 messages (RFC 9112).
 //!
-//! A parser is fed bytes as they come and hands out whole messages. It keeps one buffer for its connection and
-//! remembers how far it has looked, so a byte that trickles in is looked at once. It is strict where leniency
-//! lets two parties read one message differently: bare LF, folded fields, white space before a colon, doubled
-//! or mixed framing fields are all refused, and nothing is handed out after a refusal.
+//! A parser is fed received bytes and returns complete messages. It has one buffer for its connection and remembers how far
+//! it has scanned, so each byte is scanned once. It is strict where leniency would let two parties read a message
+//! differently: bare LF, folded fields, white space before a colon, and repeated or mixed framing fields are errors, and no
+//! message is returned after an error.
 
 pub use crate::bounds::{Fault, Limits};
 use crate::head::{Buffer, fault, fields, is_token, status_code, text};
 use crate::message::{Headers, Method, Request, Response};
 
-/// How the content of a message is told from what follows (RFC 9112 section 6.3).
+/// How the end of a message's content is determined (RFC 9112 section 6.3).
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Framing {
     Length(usize),
@@ -17,13 +17,13 @@
     UntilClose,
 }
 
-/// Where chunked content stands (RFC 9112 section 7.1).
+/// The state of reading chunked content (RFC 9112 section 7.1).
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Chunk {
     Size,
     Data(usize),
     DataEnd,
-    /// How many trailers were read and dropped.
+    /// The number of trailers that were read and dropped.
     Trailer(usize),
 }
 
@@ -34,7 +34,7 @@
     Failed(Fault),
 }
 
-/// The framing of a message's content; `None` where the fields say nothing of it.
+/// The framing of a message's content; `None` if the fields do not determine it.
 fn framing(headers: &Headers, limits: &Limits) -> Result<Option<Framing>, Fault> {
     let (mut lengths, mut codings) = (headers.all("content-length"), headers.all("transfer-encoding"));
     let (length, coding) = (lengths.next(), codings.next());
@@ -76,7 +76,7 @@
     }
 }
 
-/// Moves content from the buffer to `body`; true when it is complete.
+/// Moves content from the buffer to `body`; returns true when it is complete.
 fn body(
     buffer: &mut Buffer, framing: &mut Framing, chunk: &mut Chunk, body: &mut Vec<u8>, limits: &Limits,
 ) -> Result<bool, Fault> {
@@ -160,48 +160,48 @@
     }
 }
 
-/// Reads requests, as a server does.
+/// Parses requests, for a server.
 #[derive(Debug)]
 pub struct RequestParser {
     limits: Limits,
     buffer: Buffer,
     state: State<(Method, String, Headers, bool)>,
-    /// The client waits for an interim answer before it sends the content.
-    expects: bool,
-    /// Empty lines passed over before the request.
+    /// The client waits for an interim response before it sends the content.
+    continue_pending: bool,
+    /// Number of empty lines skipped before the request.
     blank_lines: usize,
 }
 
 impl RequestParser {
-    /// A parser for one connection.
+    /// Creates a parser for one connection.
     pub fn new(limits: Limits) -> Self {
         let (buffer, state) = (Buffer::default(), State::Head);
-        RequestParser { limits, buffer, state, expects: false, blank_lines: 0 }
+        RequestParser { limits, buffer, state, continue_pending: false, blank_lines: 0 }
     }
 
-    /// Takes bytes as they were read.
+    /// Appends received bytes.
     pub fn feed(&mut self, bytes: &[u8]) {
         self.buffer.feed(bytes);
     }
 
-    /// Bytes held that belong to no message handed out yet.
+    /// Number of buffered bytes that belong to no returned message.
     pub fn pending(&self) -> usize {
         self.buffer.rest().len()
     }
 
-    /// Whether part of a request has come and the rest has not.
-    pub fn midway(&self) -> bool {
+    /// Whether a part of a request has been received.
+    pub fn is_mid_message(&self) -> bool {
         !matches!(self.state, State::Head) || self.pending() > 0
     }
 
-    /// Whether a `100 Continue` is due now; true once for each request that asks for one.
+    /// Whether a `100 Continue` has to be sent now; true once for each request that expects one.
     pub fn wants_continue(&mut self) -> bool {
-        std::mem::take(&mut self.expects)
+        std::mem::take(&mut self.continue_pending)
     }
 
-    /// The next whole request; a fault is final and comes again at each call.
+    /// The next complete request. An error is final and is returned by each further call.
     pub fn poll(&mut self) -> Result<Option<Request>, Fault> {
-        match self.step() {
+        match self.poll_message() {
             Err(f) => {
                 self.state = State::Failed(f);
                 self.buffer = Buffer::default();
@@ -211,7 +211,7 @@
         }
     }
 
-    fn step(&mut self) -> Result<Option<Request>, Fault> {
+    fn poll_message(&mut self) -> Result<Option<Request>, Fault> {
         loop {
             match &mut self.state {
                 State::Failed(f) => return Err(*f),
@@ -231,7 +231,7 @@
                     let (head, framing) = request_head(&self.buffer.rest()[..length], &self.limits)?;
                     self.buffer.take(length);
                     self.blank_lines = 0;
-                    self.expects = match head.2.get("expect") {
+                    self.continue_pending = match head.2.get("expect") {
                         None => false,
                         Some(e) if e.eq_ignore_ascii_case("100-continue") => framing != Framing::Length(0),
                         Some(_) => return fault(417, "an expectation other than 100-continue"),
@@ -247,7 +247,7 @@
                         return Ok(None);
                     };
                     let (method, target, headers, keep_alive) = head;
-                    self.expects = false;
+                    self.continue_pending = false;
                     return Ok(Some(Request { method, target, headers, body, keep_alive }));
                 }
             }
@@ -288,7 +288,7 @@
     Ok(((Method::of(method), text(target)?.to_owned(), headers, keep), framing))
 }
 
-/// Reads responses, as a client does. One request is out at a time.
+/// Parses responses, for a client with one request in flight at a time.
 #[derive(Debug)]
 pub struct ResponseParser {
     limits: Limits,
@@ -299,31 +299,31 @@
 }
 
 impl ResponseParser {
-    /// A parser for one connection.
+    /// Creates a parser for one connection.
     pub fn new(limits: Limits) -> Self {
         let (buffer, state) = (Buffer::default(), State::Head);
         ResponseParser { limits, buffer, state, head_only: false, streaming: false }
     }
 
-    /// Says what is asked next: a HEAD request's answer has no content; a stream's content is handed out as it
-    /// comes by [`Self::stream`].
+    /// Announces the next request: the response to a HEAD request has no content; the content of a stream is returned by
+    /// [`Self::stream`] as it arrives.
     pub fn expect(&mut self, head_only: bool, streaming: bool) {
         (self.head_only, self.streaming) = (head_only, streaming);
     }
 
-    /// Takes bytes as they were read.
+    /// Appends received bytes.
     pub fn feed(&mut self, bytes: &[u8]) {
         self.buffer.feed(bytes);
     }
 
-    /// Whether nothing of an answer has come yet.
+    /// Whether nothing of a response has been received.
     pub fn idle(&self) -> bool {
         matches!(self.state, State::Head) && self.buffer.rest().is_empty()
     }
 
-    /// The next whole response, interim ones (1xx) passed over. For a stream, the head alone.
+    /// The next complete response, without interim ones (1xx). For a stream, only the head.
     pub fn poll(&mut self) -> Result<Option<Response>, Fault> {
-        let result = self.step();
+        let result = self.poll_message();
         if let Err(f) = result {
             self.state = State::Failed(f);
             self.buffer = Buffer::default();
@@ -331,7 +331,7 @@
         result
     }
 
-    fn step(&mut self) -> Result<Option<Response>, Fault> {
+    fn poll_message(&mut self) -> Result<Option<Response>, Fault> {
         loop {
             match &mut self.state {
                 State::Failed(f) => return Err(*f),
@@ -390,7 +390,7 @@
         Some(Response { status, headers, body, keep_alive })
     }
 
-    /// The peer closed: the response that this completes, if its content ran until then.
+    /// The peer closed the connection. Returns the response that this completes, if its content extends to the close.
     pub fn close(&mut self) -> Option<Response> {
         match &self.state {
             State::Body { framing: Framing::UntilClose, head, .. } if head.0 > 0 => self.finish(),
@@ -398,12 +398,12 @@
         }
     }
 
-    /// Whether a stream's content says itself where it ends, so that a close before that is a break.
+    /// Whether a stream's content has an explicit end, so that an earlier close is an error.
     pub fn stream_is_framed(&self) -> bool {
         matches!(&self.state, State::Body { framing, .. } if *framing != Framing::UntilClose)
     }
 
-    /// Streamed content that came since the last call, and whether it is complete.
+    /// The streamed content received since the last call, and whether it is complete.
     pub fn stream(&mut self) -> Result<(Vec<u8>, bool), Fault> {
         let limits = Limits { body: usize::MAX, ..self.limits };
         let State::Body { framing, chunk, body: content, .. } = &mut self.state else {
--- a/crates/http/src/sse.rs
+++ b/crates/http/src/sse.rs
@@ -12,7 +12,7 @@
 }
 
 impl Event {
-    /// The bytes on the wire.
+    /// Encodes the event.
     pub fn encode(&self) -> Vec<u8> {
         let mut out = String::with_capacity(self.kind.len() + self.data.len() + 24);
         if !self.kind.is_empty() {
@@ -35,11 +35,11 @@
     }
 }
 
-/// A stream carried more than its bound in one event.
+/// An event exceeds the limit of its stream.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct TooLong;
 
-/// Reads a stream of events.
+/// Parses a stream of events.
 #[derive(Debug)]
 pub struct Parser {
     limit: usize,
@@ -53,7 +53,7 @@
 }
 
 impl Parser {
-    /// A parser that takes at most `limit` bytes for one event.
+    /// Creates a parser that accepts at most `limit` bytes per event.
     pub fn new(limit: usize) -> Self {
         let (line, event) = (Vec::new(), Event::default());
         Parser {
@@ -68,7 +68,7 @@
         }
     }
 
-    /// Takes bytes as they came; whole events are appended to `out`.
+    /// Parses received bytes; complete events are appended to `out`.
     pub fn feed(&mut self, bytes: &[u8], out: &mut Vec<Event>) -> Result<(), TooLong> {
         for &b in bytes {
             let lf_of_crlf = std::mem::take(&mut self.after_cr) && b == b'\n';
@@ -88,7 +88,7 @@
         Ok(())
     }
 
-    /// How many comments came: streams that have nothing to tell show by them that they are alive.
+    /// Number of comments received. Streams without events send comments to show that they are alive.
     pub fn comments(&self) -> u64 {
         self.comments
     }
@@ -120,7 +120,7 @@
             }
             "id" if !value.contains('\0') => self.last_id = value.to_owned(),
             "" => self.comments += 1,
-            // `retry` steers reconnection, which the reader decides by its own books.
+            // `retry` is ignored: the caller decides when to reconnect.
             _ => {}
         }
     }
--- a/crates/http/tests/parse.rs
+++ b/crates/http/tests/parse.rs
@@ -1,4 +1,4 @@
-//! The HTTP parsers: hard cases by table, the same answer however the bytes are cut, and against `httparse`.
+//! The HTTP parsers: tables of difficult input, independence from how the bytes are split, and comparison with `httparse`.
 
 use micadyke_http::fields::{IfMatch, Link, LoadReport, prefer_wait};
 use micadyke_http::sse::{Event, Parser};
@@ -141,7 +141,7 @@
         let mut fields = [httparse::EMPTY_HEADER; 16];
         let mut theirs = httparse::Request::new(&mut fields);
         let accepted = theirs.parse(text.as_bytes());
-        // Ours is the stricter: whatever it takes, httparse takes too, and reads the same.
+        // This parser is stricter: httparse accepts all that it accepts, with the same result.
         if let Ok(ours) = read(text.as_bytes(), 5) && let Some(ours) = ours.first() {
             prop_assert!(accepted.is_ok(), "{text:?}: {accepted:?}");
             prop_assert_eq!(theirs.path, Some(ours.target.as_str()));
@@ -176,7 +176,7 @@
     let (mut parser, mut events) = (Parser::new(200), Vec::new());
     parser.feed(b":\n\nid: 4\ndata: a\n\n: alive\ndata: b\n\nid: 7\n\nid\ndata: c\n\n", &mut events).unwrap();
     let seen: Vec<(&str, &str)> = events.iter().map(|e| (e.id.as_str(), e.data.as_str())).collect();
-    // An id holds until another comes; one without a value takes it back (WHATWG HTML, section 9.2.6).
+    // An id holds until another is set; an empty one removes it (WHATWG HTML, section 9.2.6).
     assert_eq!((seen, parser.comments()), (vec![("4", "a"), ("4", "b"), ("", "c")], 2));
     let (mut again, mut read) = (Parser::new(200), Vec::new());
     again.feed(&events[0].encode(), &mut read).unwrap();
--- a/crates/http/tests/structured.rs
+++ b/crates/http/tests/structured.rs
@@ -1,9 +1,9 @@
-//! Structured fields: the specification's examples, the bounds, and where `sfv` refuses what was read by hand before it.
+//! Structured fields: examples of the specification, the limits, and input that `sfv` rejects but an earlier parser accepted.
 
 use micadyke_http::structured::*;
 use proptest::prelude::*;
 
-/// The text that a list, and that a dictionary, comes back as.
+/// The reserialized text of a list or dictionary.
 fn read(text: &str) -> (Option<String>, Option<String>) {
     (parse_list(text).as_ref().map(write_list), parse_dictionary(text).as_ref().map(write_dictionary))
 }
@@ -18,7 +18,7 @@
         ),
         ("4.500, -0, -0.0,\t007", "4.5, 0, 0.0, 7"),
         (":cHJldGVuZA==:, :cHJldGVuZA:, ::", ":cHJldGVuZA==:, :cHJldGVuZA==:, ::"),
-        // Bits left over at the end are nothing (section 4.2.7).
+        // Surplus bits at the end are ignored (section 4.2.7).
         (":YR==:, @1659578233, %\"f%c3%bc\"", ":YQ==:, @1659578233, %\"f%c3%bc\""),
         ("a;b;c;b=2, \"\\\"\\\\\"", "a;b=2;c, \"\\\"\\\\\""),
         ("  ", ""),
@@ -54,7 +54,7 @@
         "%\"%C3\"",
         "%\"%c3\"",
         "\u{e9}",
-        // Read by hand, these were taken: padding that fits no length, or more than is due.
+        // The earlier parser accepted wrong or surplus padding.
         ":=:",
         ":==:",
         ":YWI==:",
@@ -71,7 +71,7 @@
     let keys = |n: usize, between: &str| (0..n).map(|i| format!("k{i}")).collect::<Vec<_>>().join(between);
     let same = |n: usize, between: &str| vec!["a"; n].join(between);
     let most = MAX_MEMBERS;
-    // A text that fits, and the same one step longer.
+    // A text of maximum size, and one that is a step longer.
     let table = [
         (keys(most, ","), keys(most + 1, ",")),
         (format!("a;{}", keys(most, ";")), format!("a;{}", keys(most + 1, ";"))),
