--- a/crates/cli/tests/customers.rs
+++ b/crates/cli/tests/customers.rs
@@ -78,7 +78,7 @@
         "\"known\":{\"offset\":1",
         "\"known\":{\"offset\":0",
         "known.batch[0].offset holds 1, past known.offset, which holds 0",
-        "Write known anew",
+        "Correct known",
     ),
     (
         "\"batch\":[{\"offset\":1,",
@@ -214,13 +214,13 @@
         "\"name\":\"n0\"",
         "\"name\":\"n1\"",
         "name holds 'n1', but EDGE_NAME says 'n0'",
-        "Hand the node its own file",
+        "Give the node its own file",
     ),
     (
         "\"listen\":\"127.0.0.1",
         "\"listen\":\"127.0.0.2",
         "listen holds 127.0.0.2:",
-        "Hand the node its own file",
+        "Give the node its own file",
     ),
 ];
 
--- a/crates/deadline/src/settings.rs
+++ b/crates/deadline/src/settings.rs
@@ -55,7 +55,7 @@
     /// What an operator can do about the error.
     ///
     /// ```
-    /// assert!(micadyke_deadline::Error::Price(0.0).advice().contains("time limit"));
+    /// assert!(micadyke_deadline::Error::Price(0.0).advice().contains("patience"));
     /// ```
     pub fn advice(&self) -> &'static str {
         match self {
--- a/crates/node/src/error.rs
+++ b/crates/node/src/error.rs
@@ -36,7 +36,7 @@
     /// What an operator can do.
     ///
     /// ```
-    /// let bad = micadyke_node::list::change(&serde_json::json!({})).expect_err("no number");
+    /// let bad = micadyke_node::list::parse_change(&serde_json::json!({})).expect_err("no number");
     /// assert!(bad.advice().contains("bus"));
     /// ```
     pub fn advice(&self) -> &'static str {
@@ -133,7 +133,7 @@
     /// What an operator can do.
     ///
     /// ```
-    /// let refused = micadyke_node::config::read("{}").expect_err("nothing in it");
+    /// let refused = micadyke_node::config::from_json("{}").expect_err("nothing in it");
     /// assert!(refused.advice().contains("DEPLOY.md"));
     /// ```
     pub fn advice(&self) -> &'static str {
