--- a/crates/lab/src/joined.rs
+++ b/crates/lab/src/joined.rs
@@ -8,7 +8,7 @@
 use micadyke::module::Decide;
 use micadyke_isup::{Frame, Message, Parser, code, kind};
 use micadyke_membership::Change;
-use micadyke_node::config::{Config, from_json};
+use micadyke_node::config::{Config, read};
 use micadyke_node::{ConnId, Input, Node, Output};
 use micadyke_recovery::phases::MembershipEvent;
 use micadyke_rtsp::Message as Rtsp;
@@ -235,7 +235,7 @@
         members::name(n),
         rows.join(",")
     );
-    let mut config = from_json(&text).expect("sound");
+    let mut config = read(&text).expect("sound");
     let s = &mut config.deployment.settings;
     (s.fronts, s.cells, s.zone) = (plan.nodes as u32, CELLS as u32, (n % ZONES) as u32);
     (s.link_per_weight, s.streams_by_kind, s.full_from) = (LINK, vec![PLACES as u32], 1.0);
--- a/crates/node/src/config.rs
+++ b/crates/node/src/config.rs
@@ -2,7 +2,7 @@
 
 use crate::error::ConfigError;
 use crate::list::{ListChange, parse_change};
-use micadyke_settings::{Deployment, from_json as deployment_from_json};
+use micadyke_settings::Deployment;
 use serde_json::Value;
 use std::net::SocketAddr;
 
@@ -63,7 +63,7 @@
 /// # Errors
 ///
 /// The first invalid field.
-pub fn from_json(json: &str) -> Result<Config, ConfigError> {
+pub fn read(json: &str) -> Result<Config, ConfigError> {
     let v: Value = serde_json::from_str(json).map_err(|e| ConfigError::NotJson(e.to_string()))?;
     if !v.is_object() {
         return Err(ConfigError::WrongType { field: "the configuration", expected: "object" });
@@ -101,7 +101,7 @@
         bus,
         known,
         offset,
-        deployment: deployment_from_json(field(&v, "settings")?)?,
+        deployment: micadyke_settings::from_json(field(&v, "settings")?)?,
     })
 }
 
--- a/crates/node/src/error.rs
+++ b/crates/node/src/error.rs
@@ -133,7 +133,7 @@
     /// What an operator can do.
     ///
     /// ```
-    /// let refused = micadyke_node::config::from_json("{}").expect_err("nothing in it");
+    /// let refused = micadyke_node::config::read("{}").expect_err("nothing in it");
     /// assert!(refused.advice().contains("DEPLOY.md"));
     /// ```
     pub fn advice(&self) -> &'static str {
--- a/crates/node/src/shell.rs
+++ b/crates/node/src/shell.rs
@@ -4,7 +4,7 @@
 //! core with the current time and applies the outputs before it returns.
 
 use crate::advice::SpreadAdvice;
-use crate::config::{Config, MAX_CONFIG_BYTES, from_json};
+use crate::config::{Config, MAX_CONFIG_BYTES, read};
 use crate::error::Error;
 use crate::io::{ConnId, Input, Output};
 use crate::limits;
@@ -64,7 +64,7 @@
         return Err(Error::TooLong { path: path.into(), size });
     }
     let text = std::fs::read_to_string(path).map_err(file_error)?;
-    from_json(&text).map_err(|why| Error::Refused { path: path.into(), why })
+    read(&text).map_err(|why| Error::Refused { path: path.into(), why })
 }
 
 /// The state of a connection.
--- a/crates/node/tests/bus.rs
+++ b/crates/node/tests/bus.rs
@@ -490,7 +490,7 @@
     let text = format!(
         r#"{{"name":"n0","listen":"127.0.0.1:1","seed":"1","limits":{{"sockets":256}},"bus":"127.0.0.1:2","settings":{settings}}}"#
     );
-    micadyke_node::config::from_json(&text).expect("it is sound").deployment.connections.drain_grace
+    micadyke_node::config::read(&text).expect("it is sound").deployment.connections.drain_grace
 }
 
 #[test]
--- a/crates/node/tests/deployment/mod.rs
+++ b/crates/node/tests/deployment/mod.rs
@@ -5,7 +5,7 @@
 use micadyke_isup::{Message, code, kind};
 use micadyke_membership::server_report::{Finding, ServerReport};
 use micadyke_node::Input;
-use micadyke_node::config::{Config, from_json};
+use micadyke_node::config::{Config, read};
 use micadyke_recovery::phases::MembershipEvent as Fact;
 use micadyke_standin::platform::{Record, Seen, Treat};
 use micadyke_subset::settings::SubsetSettings;
@@ -206,7 +206,7 @@
     let config = json!({"name": "n", "listen": "127.0.0.1:2905", "seed": format!("{seed:016x}"),
         "limits": {"cores": 1, "memory_mb": 32, "sockets": site.sockets}, "bus": "127.0.0.2:4222",
         "known": {"offset": 1, "batch": [list]}, "settings": site.settings});
-    from_json(&config.to_string()).unwrap_or_else(|e| panic!("seed {seed}: {e}"))
+    read(&config.to_string()).unwrap_or_else(|e| panic!("seed {seed}: {e}"))
 }
 
 /// A viewer's request.
--- a/crates/node/tests/idle.rs
+++ b/crates/node/tests/idle.rs
@@ -4,7 +4,7 @@
 mod world;
 
 use micadyke_isup::{Message, kind};
-use micadyke_node::config::from_json;
+use micadyke_node::config::read;
 use micadyke_node::limits;
 use micadyke_standin::platform::Treat;
 use world::*;
@@ -17,7 +17,7 @@
     let text = format!(
         r#"{{"name":"n0","listen":"127.0.0.1:2905","seed":"8c1f30d27a5be964","limits":{{"cores":1,"memory_mb":32,"sockets":256}},"bus":"127.0.0.2:4222","known":{{"offset":1,"batch":[{{"offset":1,"topology":{{"version":1,"full":true,"servers":[{row}]}}}}]}},"settings":{settings}}}"#
     );
-    World::with(from_json(&text).expect("sound settings"), 1, None)
+    World::with(read(&text).expect("sound settings"), 1, None)
 }
 
 #[test]
--- a/crates/node/tests/world/mod.rs
+++ b/crates/node/tests/world/mod.rs
@@ -8,7 +8,7 @@
 use micadyke::decide::Controller;
 use micadyke_isup::{Frame, Message, code, kind};
 use micadyke_membership::server_report::ServerReport;
-use micadyke_node::config::{Config, from_json};
+use micadyke_node::config::{Config, read};
 use micadyke_node::{ConnId, Input, Node, Output};
 use micadyke_recovery::record::StoredState;
 use micadyke_standin::platform::{Act, MediaServer, Record, Seen, Treat, bus_event, verdict};
@@ -41,7 +41,7 @@
         r#"{{"name":"n0","listen":"127.0.0.1:2905","seed":"8c1f30d27a5be964","limits":{{"cores":1,"memory_mb":32,"sockets":{sockets}}},"bus":"127.0.0.2:4222","known":{{"offset":1,"batch":[{{"offset":1,"topology":{{"version":1,"full":true,"servers":[{}]}}}}]}},"settings":{SETTINGS}}}"#,
         rows.join(",")
     );
-    from_json(&text).expect("the configuration is sound")
+    read(&text).expect("the configuration is sound")
 }
 
 /// Deliberate faults between node and world.
