--- a/crates/bench/src/peers.rs
+++ b/crates/bench/src/peers.rs
@@ -13,7 +13,7 @@
 use micadyke_http::client::read_some;
 use micadyke_http::fields::Link;
 use micadyke_http::{Limits, Method, Request, RequestParser, Response};
-use micadyke_recovery::keeper::Keeper;
+use micadyke_recovery::writer::StoreWriter;
 use micadyke_standin::offers::offer;
 use micadyke_standin::server::next_request;
 use micadyke_tokens::bound::{Guard, SharedKey};
@@ -223,12 +223,12 @@
         let config = Rc::new(read_config(&settings, "settings").unwrap_or_else(|e| panic!("{e:?}")));
         let seats = config.issuer.as_ref().map(|_| {
             let opened = micadyke_front::keeping::open(&log).expect("a store");
-            (opened.seats, Rc::new(Keeper::start(opened.store)))
+            (opened.seats, Rc::new(StoreWriter::start(opened.store)))
         });
         let bound = SharedKey::new("k", SECRET);
         let recovers = store.map(|file| {
             let opened = micadyke_front::keeping::open(&file).expect("a store");
-            let keeper = Rc::new(Keeper::start(opened.store));
+            let keeper = Rc::new(StoreWriter::start(opened.store));
             Recovers { kept: opened.kept, start: 1, keeper, fleet: None }
         });
         let extras = Extras { seats, recovers, bound, ..Extras::default() };
--- a/crates/benchlink/src/lib.rs
+++ b/crates/benchlink/src/lib.rs
@@ -1,4 +1,4 @@
-//! The bench's wire around the decision module of `micadyke`.
+//! Runs the decision module of `micadyke` behind the line protocol of the simulator.
 #![warn(missing_docs)]
 
 pub mod wire;
--- a/crates/benchlink/src/main.rs
+++ b/crates/benchlink/src/main.rs
@@ -1,4 +1,4 @@
-//! Hosts controllers on the bench's wire: standard input to standard output.
+//! Serves the simulator: reads its line protocol from standard input and answers on standard output.
 
 use std::io::{BufReader, BufWriter};
 use std::process::ExitCode;
--- a/crates/benchlink/tests/wire.rs
+++ b/crates/benchlink/tests/wire.rs
@@ -1,4 +1,4 @@
-//! The adapter on hand-written wire text.
+//! Tests of the adapter with hand-written protocol text.
 
 use benchlink::wire::serve;
 
--- a/crates/cli/src/commands.rs
+++ b/crates/cli/src/commands.rs
@@ -14,9 +14,9 @@
 use micadyke_front::list::{Fixed, News, Source, WatchedFile};
 use micadyke_front::shell::{Extras, Questions, Recovers, serve};
 use micadyke_node::shell::Recovers as NodeRecovers;
-use micadyke_recovery::keeper::Keeper;
-use micadyke_recovery::record::{Kept, Record as Keep};
-use micadyke_recovery::store::{Fault, Store};
+use micadyke_recovery::record::{Record as Keep, StoredState};
+use micadyke_recovery::store::{Store, StoreError};
+use micadyke_recovery::writer::StoreWriter;
 use micadyke_rehearse::replay::{self, Line, Via};
 use micadyke_rehearse::run::{Post, Program, play_with};
 use micadyke_rehearse::sabotage::Break;
@@ -91,7 +91,7 @@
     let (name, addr) = (std::env::var("EDGE_NAME").ok(), std::env::var("EDGE_LISTEN").ok());
     let agreed = config.agrees(name.as_deref(), addr.as_deref());
     agreed.map_err(|why| Error::Config { path: path.clone(), why })?;
-    let (settings, seed) = (config.site.settings.clone(), config.seed);
+    let (settings, seed) = (config.deployment.settings.clone(), config.seed);
     settings.check().map_err(|why| Error::Settings { path: path.clone(), why })?;
     tracing::info!(name = config.name, events = config.known.len(), "configuration read");
     let module = move |now| Controller::new(settings, seed, now).expect("settings were checked");
@@ -113,57 +113,57 @@
 /// Opens a store and counts this start in it, on the disk before anybody hears of it. A store that another process holds is
 /// an error; without a disk the process starts as the first time, by the phases: a full disk is no licence to send before
 /// the bus is back.
-fn comes_back(file: &Path, name: &str) -> Result<(Kept, u64, Option<Keeper>), Failure> {
+fn comes_back(file: &Path, name: &str) -> Result<(StoredState, u64, Option<StoreWriter>), Failure> {
     let opened = match Store::open(file) {
         Ok(opened) => opened,
-        Err(held @ Fault::Held) => return Err(stored(file)(held).into()),
+        Err(held @ StoreError::Locked) => return Err(stored(file)(held).into()),
         Err(e) => {
             tracing::warn!("{}: {e}; {}; this start is as the first", file.display(), e.advice());
-            return Ok((Kept::default(), micadyke_membership::shell::by_clock(), None));
+            return Ok((StoredState::default(), micadyke_membership::shell::start_by_clock(), None));
         }
     };
-    if let Some((to, why)) = &opened.aside {
+    if let Some((to, why)) = &opened.quarantined {
         tracing::warn!(
             "{}: {why}; set aside as {}, this start is as the first",
             file.display(),
             to.display()
         );
     }
-    let (kept, start) = counted(&opened.store, opened.kept, name, file);
-    Ok((kept, start, Some(Keeper::start(opened.store))))
+    let (kept, start) = counted(&opened.store, opened.state, name, file);
+    Ok((kept, start, Some(StoreWriter::start(opened.store))))
 }
 
 /// Counts this start in an open store; what was kept under this name, and the start's number.
-fn counted(store: &Store, kept: Kept, name: &str, file: &Path) -> (Kept, u64) {
+fn counted(store: &Store, kept: StoredState, name: &str, file: &Path) -> (StoredState, u64) {
     // What another name kept is not this process's.
     let own = kept.start.as_ref().is_none_or(|s| s.0 == name);
     if !own {
         tracing::warn!("{}: kept by another name; this start is as the first", file.display());
     }
-    let kept = if own { kept } else { Kept::default() };
-    let clock = micadyke_membership::shell::by_clock();
+    let kept = if own { kept } else { StoredState::default() };
+    let clock = micadyke_membership::shell::start_by_clock();
     let start = kept.start.as_ref().map_or(clock, |s| clock.max(s.1.saturating_add(1)));
     let record = Keep::Start { name: name.to_owned(), start, at: clock.saturating_mul(1_000_000) };
-    if let Err(e) = store.keep(&[record.into()]) {
+    if let Err(e) = store.commit(&[record.into()]) {
         tracing::warn!("{}: {e}; this start is not counted", file.display());
     }
     (kept, start)
 }
 
 /// What a front keeps, opened: its seats and the way to the store, and what it comes back with where it keeps its sessions.
-type Keeps = (Option<(State, Rc<Keeper>)>, Option<Recovers>);
+type Keeps = (Option<(State, Rc<StoreWriter>)>, Option<Recovers>);
 
 /// Opens what a front keeps: `--store` holds all of it; without that, the file that the issuer's settings name holds seats.
 fn keeps(config: &Config, file: &Path, store: Option<&Path>) -> Result<Keeps, Failure> {
     let seats = config.issuer.as_ref().map(|i| beside(file, &i.state));
     let Some(path) = store else {
         let opened = seats.map(|path| keeping::open(&path).map_err(stored(&path))).transpose()?;
-        return Ok((opened.map(|o| (o.seats, Rc::new(Keeper::start(o.store)))), None));
+        return Ok((opened.map(|o| (o.seats, Rc::new(StoreWriter::start(o.store)))), None));
     };
     let opened = keeping::open_with(path, seats.as_deref()).map_err(stored(path))?;
     let own = opened.kept.start.as_ref().is_none_or(|s| s.0 == config.name);
     let (kept, start) = counted(&opened.store, opened.kept, &config.name, path);
-    let keeper = Rc::new(Keeper::start(opened.store));
+    let keeper = Rc::new(StoreWriter::start(opened.store));
     let state = if own { opened.seats } else { State::default() };
     let seats = config.issuer.as_ref().map(|_| (state, keeper.clone()));
     Ok((seats, Some(Recovers { kept, start, keeper, fleet: None })))
@@ -323,7 +323,7 @@
             None => Issuer::new(terms, 1.0, 1),
             Some(file) => {
                 let opened = Store::open(file).map_err(stored(file))?;
-                if let Some((to, why)) = &opened.aside {
+                if let Some((to, why)) = &opened.quarantined {
                     tracing::warn!("{}: {why}; set aside as {}", file.display(), to.display());
                 }
                 Issuer::keeping(terms, 1.0, 1, opened).map_err(stored(file))?
--- a/crates/cli/src/desk.rs
+++ b/crates/cli/src/desk.rs
@@ -5,8 +5,8 @@
 use micadyke_directory::{
     self as directory, Answer, Directory, Entry, Error, Input, Key, Output, Progress, Seen,
 };
-use micadyke_membership::frame::{Head, Kind, LONGEST, ROOM, Seal};
-use micadyke_membership::{Change, Letter, Member, Post};
+use micadyke_membership::frame::{FrameCodec, Head, Kind, MAX_DATAGRAM_BYTES, MAX_PAYLOAD_BYTES};
+use micadyke_membership::{Change, Member, Message, MessageChannel};
 use micadyke_node::shell::{Directed, Index};
 use serde_json::{Value, json};
 use std::cell::{Cell, RefCell};
@@ -36,7 +36,7 @@
     zero: Instant,
     name: String,
     terms: Terms,
-    letters: mpsc::Sender<Letter>,
+    letters: mpsc::Sender<Message>,
     ends: mpsc::Sender<Key>,
     waiting: RefCell<HashMap<u64, Vec<oneshot::Sender<Answer>>>>,
     wake: Notify,
@@ -60,8 +60,8 @@
 }
 
 /// A desk, the node's way to it, letters that come, and the end of them for membership.
-pub fn open(name: &str, terms: Terms) -> (Rc<Desk>, Directed, mpsc::Receiver<Letter>, Post) {
-    let (ours, theirs) = Post::pair();
+pub fn open(name: &str, terms: Terms) -> (Rc<Desk>, Directed, mpsc::Receiver<Message>, MessageChannel) {
+    let (ours, theirs) = MessageChannel::pair();
     let (told, ends) = mpsc::channel(ENDS);
     let settings = directory::Settings {
         rate: terms.rate,
@@ -83,7 +83,7 @@
         tools: Cell::new(0),
     });
     let directed = Directed { index: desk.clone(), ends };
-    (desk, directed, ours.take, theirs)
+    (desk, directed, ours.receive, theirs)
 }
 
 impl Desk {
@@ -100,7 +100,7 @@
     fn carry(&self, out: Vec<Output>) {
         for output in out {
             match output {
-                Output::Send { to, bytes } => drop(self.letters.try_send(Letter::to(&to, TOPIC, bytes))),
+                Output::Send { to, bytes } => drop(self.letters.try_send(Message::to(&to, TOPIC, bytes))),
                 Output::Answered { id, answer } => {
                     let waiting = self.waiting.borrow_mut().remove(&id).unwrap_or_default();
                     waiting.into_iter().for_each(|w| drop(w.send(answer.clone())));
@@ -139,7 +139,7 @@
     }
 
     /// Runs until there are no more letters.
-    pub async fn run(self: Rc<Self>, mut letters: mpsc::Receiver<Letter>) {
+    pub async fn run(self: Rc<Self>, mut letters: mpsc::Receiver<Message>) {
         loop {
             let at = self.directory.borrow().wake_at();
             let span = Duration::from_nanos(at.saturating_sub(self.now()).min(directory::SECOND));
@@ -160,7 +160,7 @@
     /// # Errors
     ///
     /// Where it cannot listen.
-    pub async fn listen(self: Rc<Self>, seal: Seal) -> Result<(), String> {
+    pub async fn listen(self: Rc<Self>, seal: FrameCodec) -> Result<(), String> {
         let Some(addr) = self.terms.ask else { return std::future::pending().await };
         let listener = TcpListener::bind(addr).await.map_err(|e| format!("cannot listen on {addr}: {e}"))?;
         loop {
@@ -182,7 +182,7 @@
         }
     }
 
-    async fn serve(&self, mut stream: TcpStream, seal: &Seal) -> Option<()> {
+    async fn serve(&self, mut stream: TcpStream, seal: &FrameCodec) -> Option<()> {
         let asked = tokio::time::timeout(HURRY, take(&mut stream, seal)).await.ok()??;
         let asked: Value = serde_json::from_slice(&asked).ok()?;
         let answer = match self.do_as_told(&asked).await {
@@ -190,7 +190,7 @@
             Err(error) => json!({"error": error.to_string(), "advice": error.advice()}),
         };
         let text = json!({"number": asked["number"], "by": self.name, "answer": answer}).to_string();
-        for part in text.as_bytes().chunks(ROOM) {
+        for part in text.as_bytes().chunks(MAX_PAYLOAD_BYTES) {
             put(&mut stream, seal, part).await?;
         }
         stream.shutdown().await.ok()
@@ -281,23 +281,24 @@
 // ----- the tool's side
 
 /// Frames are the fleet's own, each with its length ahead.
-async fn put(stream: &mut TcpStream, seal: &Seal, payload: &[u8]) -> Option<()> {
+async fn put(stream: &mut TcpStream, seal: &FrameCodec, payload: &[u8]) -> Option<()> {
     let any: SocketAddr = ([0, 0, 0, 0], 0).into();
-    let head = Head { kind: Kind::Topic(TOPIC), sender: Member::new("asker", any, 0), digest: 0, members: 0 };
-    let bytes = seal.close(&head, payload)?;
+    let head =
+        Head { kind: Kind::Message(TOPIC), sender: Member::new("asker", any, 0), digest: 0, members: 0 };
+    let bytes = seal.encode(&head, payload)?;
     stream.write_all(&(bytes.len() as u16).to_be_bytes()).await.ok()?;
     stream.write_all(&bytes).await.ok()
 }
 
-async fn take(stream: &mut TcpStream, seal: &Seal) -> Option<Vec<u8>> {
+async fn take(stream: &mut TcpStream, seal: &FrameCodec) -> Option<Vec<u8>> {
     let mut length = [0; 2];
     stream.read_exact(&mut length).await.ok()?;
     let length = usize::from(u16::from_be_bytes(length));
-    let mut bytes = vec![0; Some(length).filter(|l| *l <= LONGEST)?];
+    let mut bytes = vec![0; Some(length).filter(|l| *l <= MAX_DATAGRAM_BYTES)?];
     stream.read_exact(&mut bytes).await.ok()?;
-    seal.open(&bytes)
+    seal.decode(&bytes)
         .ok()
-        .filter(|(head, _)| head.kind == Kind::Topic(TOPIC))
+        .filter(|(head, _)| head.kind == Kind::Message(TOPIC))
         .map(|(_, payload)| payload.to_vec())
 }
 
@@ -316,7 +317,7 @@
 }
 
 /// Asks a node's desk.
-pub async fn ask(at: SocketAddr, seal: &Seal, wish: &Wish, limit: Duration) -> Result<Value, Failure> {
+pub async fn ask(at: SocketAddr, seal: &FrameCodec, wish: &Wish, limit: Duration) -> Result<Value, Failure> {
     // An answer to another question, said again, is told by its number.
     let number: u32 = rand::random();
     let asked = json!({"number": number, "kind": wish.kind, "text": wish.text, "act": wish.act,
--- a/crates/cli/src/error.rs
+++ b/crates/cli/src/error.rs
@@ -3,7 +3,7 @@
 use micadyke::interface::SettingsError;
 use micadyke_config::Diagnostic;
 use micadyke_config::units::Fault as Ill;
-use micadyke_recovery::store::Fault as Kept;
+use micadyke_recovery::store::StoreError;
 use micadyke_rehearse::run::CannotRun;
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -25,7 +25,7 @@
     Refused(Vec<Diagnostic>),
     /// A store that can't be had.
     #[error("{}: {why}", path.display())]
-    Store { path: PathBuf, why: Kept },
+    Store { path: PathBuf, why: StoreError },
     /// A file that holds no secret.
     #[error("{}: a secret of 32 bytes at least is due", path.display())]
     Secret { path: PathBuf },
--- a/crates/cli/src/ground.rs
+++ b/crates/cli/src/ground.rs
@@ -3,7 +3,7 @@
 use crate::error::Error;
 use micadyke_config::Diagnostic;
 use micadyke_config::units::{Unit, quantity};
-use micadyke_recovery::store::Fault;
+use micadyke_recovery::store::StoreError;
 use std::path::{Path, PathBuf};
 
 /// What ends a command.
@@ -33,7 +33,7 @@
 }
 
 /// A failure at a store.
-pub(crate) fn stored(path: &Path) -> impl Fn(Fault) -> Error + '_ {
+pub(crate) fn stored(path: &Path) -> impl Fn(StoreError) -> Error + '_ {
     move |why| Error::Store { path: path.into(), why }
 }
 
--- a/crates/cli/src/members.rs
+++ b/crates/cli/src/members.rs
@@ -6,17 +6,19 @@
 use micadyke_config::sexp;
 use micadyke_config::units::Unit;
 use micadyke_directory::settings::Terms;
-use micadyke_membership::frame::{KEY, Seal};
-use micadyke_membership::news::News;
-use micadyke_membership::shell::{Beside, Part};
-use micadyke_membership::status::{Returning, Row, Summary};
-use micadyke_membership::{Change, Letter, MOST_MEMBERS, Member as Known, Post, Settings, State, shell};
+use micadyke_membership::frame::{FrameCodec, MIN_KEY_BYTES};
+use micadyke_membership::server_report::ServerReport;
+use micadyke_membership::shell::{Connections, TimedShare};
+use micadyke_membership::status::{RecoveryStatus, Row, Summary};
+use micadyke_membership::{
+    Change, MAX_MEMBERS, Member as Known, Message, MessageChannel, Settings, State, shell,
+};
 use micadyke_node::shell::Others;
-use micadyke_recovery::keeper::Keeper;
-use micadyke_recovery::phases::{Fleet, Phase};
-use micadyke_recovery::record::{Kept as Before, Record};
-use micadyke_recovery::watched::{Stage, Watched};
-use micadyke_subset::settings::Terms as Choices;
+use micadyke_recovery::phases::{MembershipEvent, Phase};
+use micadyke_recovery::progress::{Progress, ProgressObserver};
+use micadyke_recovery::record::{Record, StoredState as Before};
+use micadyke_recovery::writer::StoreWriter;
+use micadyke_subset::settings::SubsetSettings as Choices;
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
 use std::fmt::Write;
@@ -30,7 +32,7 @@
 /// Settings and key of a member.
 pub struct Member {
     settings: Settings,
-    seal: Seal,
+    seal: FrameCodec,
     /// A directory is kept with the others.
     directory: Option<Terms>,
     /// A node chooses servers with the others.
@@ -54,8 +56,9 @@
         let directory = checked(file, micadyke_directory::settings::read)?.map_err(told)?;
         let path = beside(file, &settings.key_file);
         let key = std::fs::read(&path).map_err(at(&path))?;
-        let seal = Seal::new(&settings.fleet, key.trim_ascii());
-        let seal = seal.ok_or_else(|| format!("{}: a key of {KEY} bytes at least is due", path.display()))?;
+        let seal = FrameCodec::new(&settings.fleet, key.trim_ascii());
+        let seal = seal
+            .ok_or_else(|| format!("{}: a key of {MIN_KEY_BYTES} bytes at least is due", path.display()))?;
         Ok(Member { settings, seal, directory, chooses })
     }
 }
@@ -77,20 +80,20 @@
 /// A member's side of what it and a node tell each other.
 #[derive(Default)]
 pub struct Neighbours {
-    parts: Option<watch::Sender<Option<Part>>>,
-    heard: Option<mpsc::Sender<News>>,
-    tell: Option<mpsc::Receiver<News>>,
-    fleet: Option<mpsc::Sender<Fleet>>,
-    keeper: Option<Rc<Keeper>>,
-    returning: Option<watch::Receiver<Option<Returning>>>,
-    directory: Option<Kept>,
+    parts: Option<watch::Sender<Option<TimedShare>>>,
+    heard: Option<mpsc::Sender<ServerReport>>,
+    tell: Option<mpsc::Receiver<ServerReport>>,
+    fleet: Option<mpsc::Sender<MembershipEvent>>,
+    keeper: Option<Rc<StoreWriter>>,
+    returning: Option<watch::Receiver<Option<RecoveryStatus>>>,
+    directory: Option<DirectoryShell>,
 }
 
 /// A directory that is to run beside the member: its letters, and membership's end of them.
-struct Kept {
+struct DirectoryShell {
     desk: Rc<Desk>,
-    letters: mpsc::Receiver<Letter>,
-    post: Post,
+    letters: mpsc::Receiver<Message>,
+    post: MessageChannel,
 }
 
 impl Neighbours {
@@ -102,7 +105,7 @@
     }
 
     /// Each settled view is kept for the next start.
-    pub fn keeps(&mut self, keeper: Rc<Keeper>) {
+    pub fn keeps(&mut self, keeper: Rc<StoreWriter>) {
         self.keeper = Some(keeper);
     }
 
@@ -110,9 +113,9 @@
     pub fn watches(&mut self, kept: &mut Before) {
         let (tell, told) = watch::channel(None);
         self.returning = Some(told);
-        kept.watched = Watched::by(move |stage| {
+        kept.observer = ProgressObserver::new(move |stage| {
             let now = in_words(stage);
-            tell.send_if_modified(|last: &mut Option<Returning>| {
+            tell.send_if_modified(|last: &mut Option<RecoveryStatus>| {
                 let same = last.as_ref().map(|r| (&r.phase, &r.waits_for))
                     == now.as_ref().map(|r| (&r.phase, &r.waits_for));
                 if !same {
@@ -125,7 +128,7 @@
 }
 
 /// A stage as people see it; nothing in service.
-pub fn in_words(Stage { phase, waits_for, left }: Stage) -> Option<Returning> {
+pub fn in_words(Progress { phase, waits_for, left }: Progress) -> Option<RecoveryStatus> {
     let phase = match phase {
         Phase::List => "list",
         Phase::View => "view",
@@ -133,7 +136,7 @@
         Phase::Parts => "parts",
         Phase::Serving => return None,
     };
-    Some(Returning { phase: phase.to_owned(), waits_for, left_ms: left / 1_000_000 })
+    Some(RecoveryStatus { phase: phase.to_owned(), waits_for, left_ms: left / 1_000_000 })
 }
 
 /// Pieces of news that wait between member and node; more are lost, as datagrams may be.
@@ -141,7 +144,7 @@
 
 /// Changes of the view that wait between member and node: all members, with room for each to change its mind. Recovery
 /// that misses one waits to its limit.
-const FACTS: usize = 2 * MOST_MEMBERS;
+const FACTS: usize = 2 * MAX_MEMBERS;
 
 /// Both sides of what a member and a node tell each other; none where there is no member.
 pub fn others(member: Option<&Member>) -> (Neighbours, Option<Others>) {
@@ -154,7 +157,7 @@
     let (mut kept, mut directed) = (None, None);
     if let Some(terms) = &member.directory {
         let (desk, way, letters, post) = desk::open(&member.settings.name, terms.clone());
-        (kept, directed) = (Some(Kept { desk, letters, post }), Some(way));
+        (kept, directed) = (Some(DirectoryShell { desk, letters, post }), Some(way));
     }
     let neighbours = Neighbours {
         directory: kept,
@@ -180,13 +183,13 @@
     let mut living = BTreeMap::from([(settings.name.clone(), settings.start.unwrap_or_default())]);
     let mut epoch = 0;
     let (desk, post) = match directory {
-        Some(Kept { desk, letters, post }) => {
-            desk.starts(*settings.start.get_or_insert_with(shell::by_clock));
+        Some(DirectoryShell { desk, letters, post }) => {
+            desk.starts(*settings.start.get_or_insert_with(shell::start_by_clock));
             tokio::task::spawn_local(desk.clone().run(letters));
             (Some(desk), post)
         }
         // Nothing stands on the view that would send letters.
-        None => (None, Post::pair().0),
+        None => (None, MessageChannel::pair().0),
     };
     let (tools, key) = (desk.clone(), seal.clone());
     let tools = async move {
@@ -201,24 +204,24 @@
         match change {
             Change::Up(m) | Change::Renewed { new: m, .. } => {
                 living.insert(m.name.clone(), m.start);
-                facts.push(Fleet::Lives(m.name.clone(), m.start));
+                facts.push(MembershipEvent::Alive(m.name.clone(), m.start));
             }
             Change::Rejoined(m) => drop(living.insert(m.name.clone(), m.start)),
             Change::Down(m) | Change::Left(m) => {
                 living.remove(&m.name);
-                facts.push(Fleet::Gone(m.name.clone()));
+                facts.push(MembershipEvent::Gone(m.name.clone()));
             }
             Change::Settled { .. } => {
                 if let Some(keeper) = &keeper {
-                    let at = Duration::from_millis(shell::by_clock()).as_nanos() as u64;
-                    keeper.keep(Record::View { at, members: living.clone(), epoch });
+                    let at = Duration::from_millis(shell::start_by_clock()).as_nanos() as u64;
+                    keeper.save(Record::View { at, members: living.clone(), epoch });
                 }
-                facts.push(Fleet::Settled(true));
+                facts.push(MembershipEvent::ViewSettled(true));
             }
-            Change::Unsettled(_) => facts.push(Fleet::Settled(false)),
-            Change::Part(p) if p.leased > 0.0 => {
+            Change::Unsettled(_) => facts.push(MembershipEvent::ViewSettled(false)),
+            Change::ShareChanged(p) if p.leased > 0.0 => {
                 epoch = p.epoch;
-                facts.push(Fleet::Leased);
+                facts.push(MembershipEvent::ShareLeased);
             }
             _ => {}
         }
@@ -228,8 +231,9 @@
     // Where nobody tells anything, the channel is closed and never heard of.
     let news = tell.unwrap_or_else(|| mpsc::channel(1).1);
     let returning = returning.unwrap_or_else(|| watch::channel(None).1);
-    let beside = Beside { news, post, returning };
-    let view = tokio::task::spawn_local(shell::run(settings, seal, rand::random(), beside, stopped, told));
+    let connections = Connections { reports: news, messages: post, recovery: returning };
+    let view =
+        tokio::task::spawn_local(shell::run(settings, seal, rand::random(), connections, stopped, told));
     tokio::pin!(view, work, tools);
     tokio::select! {
         ended = &mut view => {
@@ -250,17 +254,17 @@
 
 /// Hands parts and news from a member's side to its node's.
 fn hand_over(
-    change: &Change, zero: Instant, parts: Option<&watch::Sender<Option<Part>>>,
-    heard: Option<&mpsc::Sender<News>>,
+    change: &Change, zero: Instant, parts: Option<&watch::Sender<Option<TimedShare>>>,
+    heard: Option<&mpsc::Sender<ServerReport>>,
 ) {
     match change {
-        Change::Part(p) => {
+        Change::ShareChanged(p) => {
             // Without a lease there is no end to tell of.
-            let until = if p.leased > 0.0 { zero + Duration::from_nanos(p.until) } else { zero };
-            let part = Part { always: p.always, leased: p.leased, until };
+            let until = if p.leased > 0.0 { zero + Duration::from_nanos(p.lease_ends_at) } else { zero };
+            let part = TimedShare { guaranteed: p.guaranteed, leased: p.leased, until };
             let _ = parts.map(|to| to.send(Some(part)));
         }
-        Change::Heard { news, .. } => drop(heard.map(|to| to.try_send(news.clone()))),
+        Change::ServerReported { report, .. } => drop(heard.map(|to| to.try_send(report.clone()))),
         _ => {}
     }
 }
@@ -269,7 +273,7 @@
 /// the table.
 const RETURNING: Duration = Duration::from_secs(1);
 /// How far the returns of those are that answered.
-pub type Told = BTreeMap<String, Option<Returning>>;
+pub type Told = BTreeMap<String, Option<RecoveryStatus>>;
 
 /// Shows a member's view, and how far the return of each is.
 pub fn members(
@@ -279,12 +283,12 @@
     let Member { seal, .. } = Member::load(membership, Some("asker"))?;
     let wait = Duration::from_nanos(given("--wait", wait, Unit::Time)? as u64);
     loop {
-        let (summary, rows) = run(shell::look(address, &seal, wait))??;
+        let (summary, rows) = run(shell::fetch_view(address, &seal, wait))??;
         let living = rows.iter().filter(|r| [State::Alive, State::Suspect].contains(&r.state));
         let mut me = summary.me.clone();
         me.addr = address;
         let asked: Vec<Known> = living.map(|r| r.member.clone()).chain([me]).collect();
-        let told = run(shell::returning(&asked, &seal, wait.min(RETURNING)))??;
+        let told = run(shell::fetch_recovery(&asked, &seal, wait.min(RETURNING)))??;
         match json {
             true => println!("{}", as_json(&summary, &rows, &told)),
             false => print!("{}", as_table(&summary, &rows, &told)),
--- a/crates/config/src/front.rs
+++ b/crates/config/src/front.rs
@@ -3,7 +3,7 @@
 use crate::form::{Diagnostic, Faults, Form, read_file};
 use crate::sexp::{Node, Place};
 use crate::units::Unit;
-use micadyke::interface::{Class, Effect, Listing, RetryBudget, Settings, Step};
+use micadyke::interface::{Class, Effect, Listing, RetryBudget, RungSpec, Settings};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
@@ -262,7 +262,7 @@
     };
 
     // Ladder and classes.
-    let mut steps: Vec<Step> = Vec::new();
+    let mut steps: Vec<RungSpec> = Vec::new();
     ladder.allow(&[], &["rung"]);
     for rung in ladder.parts().filter(|p| p.word == "rung") {
         rung.allow(&["rate", "worth"], &[]);
@@ -271,7 +271,7 @@
         if steps.last().is_some_and(|s| s.rate >= rate || s.worth >= worth) {
             rung.fault("a rung must have a higher rate and worth than the one before it");
         }
-        steps.push(Step { rate, worth });
+        steps.push(RungSpec { rate, worth });
     }
     if steps.is_empty() {
         ladder.fault("the ladder has no rung");
@@ -306,7 +306,7 @@
         };
         classes.push(Class {
             worth: c.get("worth", Unit::Share, (0.0, 1e6), Some(1.0)),
-            aim,
+            setup_target: aim,
             effect,
             scale: c.get("scale", Unit::Share, (1e-3, 1e3), Some(1.0)),
             floor: floor as usize,
@@ -458,18 +458,18 @@
         streams_by_kind: streams,
         uplink: fleet.get("uplink", Unit::Rate, (0.0, 1e12), Some(0.0)),
         link_per_weight: fleet.get("link-per-weight", Unit::Rate, (0.0, 1e12), Some(0.0)),
-        weights_tell_size: fleet.choice("weights", &["sizes", "same"], Some(0)) == 0,
+        weights_reflect_size: fleet.choice("weights", &["sizes", "same"], Some(0)) == 0,
         full_from: fleet.get("full-from", Unit::Share, (0.0, 100.0), Some(0.0)),
         change_cost_s: fleet.get("change-cost", Unit::Time, (0.0, HOUR), Some(0.0)) / 1e9,
-        note_delay: fleet.get("note-delay", Unit::Time, (0.0, HOUR), Some(0.0)) as u64,
-        note_period: fleet.get("note-period", Unit::Time, (0.0, HOUR), Some(0.0)) as u64,
+        report_delay: fleet.get("note-delay", Unit::Time, (0.0, HOUR), Some(0.0)) as u64,
+        report_period: fleet.get("note-period", Unit::Time, (0.0, HOUR), Some(0.0)) as u64,
         listing: Listing::Pushed,
         max_attempts,
-        may_advise: come_back.is_some(),
-        max_come_back: max_come_back as u64,
+        advises_retry: come_back.is_some(),
+        max_retry_after: max_come_back as u64,
         cross_price: fleet.get("cross-price", Unit::Share, (0.0, 1e3), Some(0.0)),
         handshake_price: 0.0,
-        ask_within: 0,
+        subscribe_within: 0,
         cold_for,
         cold_from,
         fall_multiple,
--- a/crates/deadline/src/decide.rs
+++ b/crates/deadline/src/decide.rs
@@ -1,300 +1,346 @@
-//! Whether what is missing is worth the wait, where it is known when each answers.
+//! Computes when a wait should end, given the latency distribution of each member.
 
-use crate::law::{BINS, HALF, bin, edge};
-use crate::{Ended, Law, Nanos, Open, Waited, Worth};
+use crate::latency::{BINS, BINS_PER_SCALE, bin_end, bin_of};
+use crate::{AskedMember, LatencyDistribution, Nanos, OpenQuery, WaitEnd, Worth};
 use std::collections::BTreeMap;
 
-/// Scales a question may run at beside what is usual, in half octaves: half to eightfold.
-const SCALES: [isize; 9] = [-2, -1, 0, 1, 2, 3, 4, 5, 6];
-/// Where the usual one stands among them.
-const OF_USUAL: usize = 2;
-/// The usual scale stays while so many questions run at it.
-const STILL_USUAL: f64 = 0.3;
-/// The chance that a question runs as usual; what is left falls by half with each step away from it.
-const USUAL: f64 = 0.8;
-/// The sum of those halves over all scales but the usual one.
-const STEPS_AWAY: f64 = 1.734_375;
-/// The chance that all zones share one scale in a question, before anything is heard.
-const SHARED: f64 = 0.5;
-/// One odd member counts at most so much against a scale.
-const ODD: f64 = 1e-3;
-/// A scale less likely than this is left out.
-const LEFT_OUT: f64 = 0.01;
+/// Factors by which a query may be slower than usual, in half octaves: from 1/2 to 8.
+const SLOWDOWNS: [isize; 9] = [-2, -1, 0, 1, 2, 3, 4, 5, 6];
+/// Index of the factor 1 in [`SLOWDOWNS`].
+const NORMAL_INDEX: usize = 2;
+/// Share of queries without slowdown from which the usual speed is kept as it is.
+const MIN_NORMAL_SHARE: f64 = 0.3;
+/// Prior probability that a query runs at the usual speed. The rest halves with each step away from it.
+const NORMAL_PROBABILITY: f64 = 0.8;
+/// Sum of the weights 1/2, 1/4, ... over all other factors.
+const OTHER_WEIGHTS: f64 = 1.734_375;
+/// Prior probability that all zones have the same slowdown in a query.
+const SHARED_PRIOR: f64 = 0.5;
+/// Lower limit of a member's likelihood, so that a single outlier cannot rule a slowdown out.
+const MIN_LIKELIHOOD: f64 = 1e-3;
+/// Slowdowns of a lower probability are ignored.
+const MIN_SLOWDOWN_PROBABILITY: f64 = 0.01;
 
-impl Waited {
-    /// Part of a whole answer: the view has not given it up.
-    fn counts(&self) -> bool {
-        self.lives > 0.0 && self.weight > 0.0
+impl AskedMember {
+    /// Whether it is part of a complete answer: the view has not removed it.
+    fn counts_in_whole(&self) -> bool {
+        self.liveness > 0.0 && self.weight > 0.0
     }
 }
 
-impl Open {
-    /// What has arrived, as a share of the weight of all that the view has not given up; 1 where nobody is left.
+impl OpenQuery {
+    /// The weight of the answers that have arrived, as a share of the weight of all members that the view has not removed; 1
+    /// if there are none.
     ///
     /// ```
-    /// use micadyke_deadline::{Open, Waited};
-    /// let w = |weight, lives, arrived| Waited { name: "n".into(), zone: "z".into(), weight, lives, arrived };
-    /// let open = Open { kind: 0, asked_at: 0, limit: 9, waited: vec![w(1.0, 1.0, Some(3)), w(3.0, 1.0, None), w(5.0, 0.0, None)] };
+    /// use micadyke_deadline::{AskedMember, OpenQuery};
+    /// let member = |weight, liveness, answered_at| {
+    ///     AskedMember { name: "n".into(), zone: "z".into(), weight, liveness, answered_at }
+    /// };
+    /// let members = vec![member(1.0, 1.0, Some(3)), member(3.0, 1.0, None), member(5.0, 0.0, None)];
+    /// let open = OpenQuery { kind: 0, asked_at: 0, deadline: 9, members };
     /// assert_eq!(open.completeness(), 0.25);
     /// ```
     pub fn completeness(&self) -> f64 {
-        let all: f64 = self.waited.iter().filter(|w| w.counts()).map(|w| w.weight).sum();
-        let here =
-            self.waited.iter().filter(|w| w.counts() && w.arrived.is_some()).map(|w| w.weight).sum::<f64>();
-        if all > 0.0 { here / all } else { 1.0 }
+        let all: f64 = self.members.iter().filter(|w| w.counts_in_whole()).map(|w| w.weight).sum();
+        let arrived = self
+            .members
+            .iter()
+            .filter(|w| w.counts_in_whole() && w.answered_at.is_some())
+            .map(|w| w.weight)
+            .sum::<f64>();
+        if all > 0.0 { arrived / all } else { 1.0 }
     }
 
-    /// Why a wait that is over at `now` has ended. A part that was owed and will not come ([`crate::LOST`]) is missing: a
-    /// partial answer is never a whole one.
+    /// Why a wait that ends at `now` has ended. A part that is known not to come ([`crate::KNOWN_MISSING`]) counts as
+    /// missing: a partial answer is never complete.
     ///
     /// ```
-    /// use micadyke_deadline::{Ended, LOST, Open, Waited};
-    /// let w = |lives, arrived| Waited { name: "n".into(), zone: "z".into(), weight: 1.0, lives, arrived };
-    /// let mut open = Open { kind: 0, asked_at: 0, limit: 9, waited: vec![w(1.0, Some(3)), w(0.0, None)] };
-    /// assert_eq!(open.ended(3), Ended::Whole);
-    /// open.waited.push(w(LOST, None));
-    /// assert_eq!((open.ended(3), open.ended(9)), (Ended::NotWorth, Ended::Patience));
+    /// use micadyke_deadline::{AskedMember, KNOWN_MISSING, OpenQuery, WaitEnd};
+    /// let member = |liveness, answered_at| {
+    ///     AskedMember { name: "n".into(), zone: "z".into(), weight: 1.0, liveness, answered_at }
+    /// };
+    /// let members = vec![member(1.0, Some(3)), member(0.0, None)];
+    /// let mut open = OpenQuery { kind: 0, asked_at: 0, deadline: 9, members };
+    /// assert_eq!(open.end_reason(3), WaitEnd::Complete);
+    /// open.members.push(member(KNOWN_MISSING, None));
+    /// assert_eq!((open.end_reason(3), open.end_reason(9)), (WaitEnd::NotWorthwhile, WaitEnd::TimedOut));
     /// ```
-    pub fn ended(&self, now: Nanos) -> Ended {
-        if self.waited.iter().all(|w| w.arrived.is_some() || w.lives <= 0.0) {
-            Ended::Whole
-        } else if now >= self.limit {
-            Ended::Patience
+    pub fn end_reason(&self, now: Nanos) -> WaitEnd {
+        if self.members.iter().all(|w| w.answered_at.is_some() || w.liveness <= 0.0) {
+            WaitEnd::Complete
+        } else if now >= self.deadline {
+            WaitEnd::TimedOut
         } else {
-            Ended::NotWorth
+            WaitEnd::NotWorthwhile
         }
     }
 
-    /// Nobody is waited for who may still answer.
+    /// Whether no member that may still answer is missing.
     ///
     /// ```
-    /// use micadyke_deadline::{Open, Waited};
-    /// let w = |lives, arrived| Waited { name: "n".into(), zone: "z".into(), weight: 1.0, lives, arrived };
-    /// let mut open = Open { kind: 0, asked_at: 0, limit: 9, waited: vec![w(1.0, Some(3)), w(0.0, None)] };
-    /// assert!(open.nobody());
-    /// open.waited.push(w(0.5, None));
-    /// assert!(!open.nobody());
+    /// use micadyke_deadline::{AskedMember, OpenQuery};
+    /// let member = |liveness, answered_at| {
+    ///     AskedMember { name: "n".into(), zone: "z".into(), weight: 1.0, liveness, answered_at }
+    /// };
+    /// let members = vec![member(1.0, Some(3)), member(0.0, None)];
+    /// let mut open = OpenQuery { kind: 0, asked_at: 0, deadline: 9, members };
+    /// assert!(open.is_waiting_for_nobody());
+    /// open.members.push(member(0.5, None));
+    /// assert!(!open.is_waiting_for_nobody());
     /// ```
-    pub fn nobody(&self) -> bool {
-        self.waited.iter().all(|w| w.arrived.is_some() || w.lives <= crate::LOST)
+    pub fn is_waiting_for_nobody(&self) -> bool {
+        self.members.iter().all(|w| w.answered_at.is_some() || w.liveness <= crate::KNOWN_MISSING)
     }
 }
 
-/// Chances of the scales.
-pub(crate) type Scales = [f64; SCALES.len()];
+/// The probabilities of the factors in [`SLOWDOWNS`].
+pub(crate) type SlowdownProbabilities = [f64; SLOWDOWNS.len()];
 
-/// How questions run before any was seen.
-pub(crate) fn usual() -> Scales {
-    SCALES.map(|k| match k {
-        0 => USUAL,
-        k => (1.0 - USUAL) * 0.5f64.powi(k.unsigned_abs() as i32) / STEPS_AWAY,
+/// The probabilities of slowdowns before any query was observed.
+pub(crate) fn slowdown_prior() -> SlowdownProbabilities {
+    SLOWDOWNS.map(|k| match k {
+        0 => NORMAL_PROBABILITY,
+        k => (1.0 - NORMAL_PROBABILITY) * 0.5f64.powi(k.unsigned_abs() as i32) / OTHER_WEIGHTS,
     })
 }
 
-/// Whether this very question runs slower than usual, by what has arrived and what has not: for each zone, steps by which
-/// answers are later, and their chances; and the chances that all zones share a scale.
+/// Estimates from the answers so far whether this query runs slower than usual. Returns, for each zone, the delays in bins
+/// and their probabilities, and the probabilities of a slowdown that all zones share.
 ///
-/// Either all zones share one (the asker's way, a heavy question), or each has its own (a slow zone); the two are weighed
-/// by their evidence. `laws` go with `open.waited`, `common` are the chances of a shared scale so far.
-pub(crate) fn scales(
-    now: Nanos, open: &Open, laws: &[&Law], common: &Scales,
-) -> (BTreeMap<String, Vec<(isize, f64)>>, Scales) {
-    let here = bin(now.saturating_sub(open.asked_at));
-    let mut zones: Vec<(&str, Scales)> = Vec::new();
-    for (w, law) in open.waited.iter().zip(laws).filter(|(w, _)| w.lives > crate::LOST) {
+/// Either all zones share a slowdown (the network of the asking node, an expensive query) or each has its own (a slow zone);
+/// the two hypotheses are weighted by their evidence. `latencies` belong to `open.members`; `common` are the probabilities
+/// of a shared slowdown from earlier queries.
+pub(crate) fn estimate_slowdowns(
+    now: Nanos, open: &OpenQuery, latencies: &[&LatencyDistribution], common: &SlowdownProbabilities,
+) -> (BTreeMap<String, Vec<(isize, f64)>>, SlowdownProbabilities) {
+    let elapsed_bin = bin_of(now.saturating_sub(open.asked_at));
+    let mut zones: Vec<(&str, SlowdownProbabilities)> = Vec::new();
+    for (w, latency) in open.members.iter().zip(latencies).filter(|(w, _)| w.liveness > crate::KNOWN_MISSING)
+    {
         let zone = zones.iter().position(|z| z.0 == w.zone).unwrap_or_else(|| {
-            zones.push((&w.zone, [0.0; SCALES.len()]));
+            zones.push((&w.zone, [0.0; SLOWDOWNS.len()]));
             zones.len() - 1
         });
-        for (sum, k) in zones[zone].1.iter_mut().zip(SCALES) {
-            let later = steps(k);
-            *sum += match w.arrived {
-                Some(at) => law.about(bin(at.saturating_sub(open.asked_at)), later).max(ODD).ln(),
-                None => (1.0 - w.lives * law.at(here, later + 1)).max(ODD).ln(),
+        for (sum, k) in zones[zone].1.iter_mut().zip(SLOWDOWNS) {
+            let later = bins_of(k);
+            *sum += match w.answered_at {
+                Some(at) => latency
+                    .within_scale(bin_of(at.saturating_sub(open.asked_at)), later)
+                    .max(MIN_LIKELIHOOD)
+                    .ln(),
+                None => (1.0 - w.liveness * latency.at_bin(elapsed_bin, later + 1)).max(MIN_LIKELIHOOD).ln(),
             };
         }
     }
-    // Chances of the scales by logarithms, and the logarithm of their evidence.
-    let posterior = |logs: Scales, prior: &Scales| {
+    // The posterior probabilities for given log-likelihoods, and the logarithm of the evidence.
+    let posterior = |logs: SlowdownProbabilities, prior: &SlowdownProbabilities| {
         let most = logs.iter().copied().fold(f64::MIN, f64::max);
         let mut each = logs.map(|l| (l - most).exp());
         each.iter_mut().zip(prior).for_each(|(e, p)| *e *= p);
         let sum: f64 = each.iter().sum();
         (each.map(|e| e / sum), most + sum.ln())
     };
-    let mut all = [0.0; SCALES.len()];
+    let mut all = [0.0; SLOWDOWNS.len()];
     zones.iter().for_each(|z| all.iter_mut().zip(z.1).for_each(|(a, l)| *a += l));
     let (common, evidence) = posterior(all, common);
-    let prior = usual();
+    let prior = slowdown_prior();
     let own: Vec<_> = zones.iter().map(|z| posterior(z.1, &prior)).collect();
     let apart: f64 = own.iter().map(|o| o.1).sum();
     let shared = match zones.len() {
         0 | 1 => 1.0,
-        _ => SHARED / (SHARED + (1.0 - SHARED) * (apart - evidence).exp()),
+        _ => SHARED_PRIOR / (SHARED_PRIOR + (1.0 - SHARED_PRIOR) * (apart - evidence).exp()),
     };
     let named = zones.iter().zip(own).map(|(z, (own, _))| {
         let mixed = own.iter().zip(&common).map(|(o, c)| shared * c + (1.0 - shared) * o);
-        let kept: Vec<_> = SCALES.into_iter().zip(mixed).filter(|s| s.1 >= LEFT_OUT).collect();
+        let kept: Vec<_> =
+            SLOWDOWNS.into_iter().zip(mixed).filter(|s| s.1 >= MIN_SLOWDOWN_PROBABILITY).collect();
         let sum: f64 = kept.iter().map(|k| k.1).sum();
-        (z.0.to_owned(), kept.into_iter().map(|(k, p)| (steps(k), p / sum)).collect())
+        (z.0.to_owned(), kept.into_iter().map(|(k, p)| (bins_of(k), p / sum)).collect())
     });
-    // Where zones differ, nothing is said of all.
-    let mut of_all = common.map(|c| c * shared);
-    of_all[OF_USUAL] += 1.0 - shared;
-    (named.collect(), of_all)
+    // As far as zones differ, nothing is learned about a shared slowdown.
+    let mut shared_slowdowns = common.map(|c| c * shared);
+    shared_slowdowns[NORMAL_INDEX] += 1.0 - shared;
+    (named.collect(), shared_slowdowns)
 }
 
-/// A scale in steps of a law.
-fn steps(scale: isize) -> isize {
-    scale * HALF as isize
+/// The number of bins by which a slowdown delays answers.
+fn bins_of(scale: isize) -> isize {
+    scale * BINS_PER_SCALE as isize
 }
 
-/// Scales in steps of a law, with their chances.
-pub(crate) fn in_steps(scales: &Scales) -> Vec<(isize, f64)> {
-    SCALES.into_iter().map(steps).zip(*scales).collect()
+/// The delays in bins of all slowdowns, with their probabilities.
+pub(crate) fn bins_with_probabilities(scales: &SlowdownProbabilities) -> Vec<(isize, f64)> {
+    SLOWDOWNS.into_iter().map(bins_of).zip(*scales).collect()
 }
 
-/// Steps by which answers are later at the likeliest scale.
-pub(crate) fn likeliest(scales: &Scales) -> isize {
+/// The delay in bins of the most likely slowdown.
+pub(crate) fn most_likely_delay(scales: &SlowdownProbabilities) -> isize {
     let most = (0..scales.len()).max_by(|a, b| scales[*a].total_cmp(&scales[*b]));
-    most.map_or(0, |i| steps(SCALES[i]))
+    most.map_or(0, |i| bins_of(SLOWDOWNS[i]))
 }
 
-/// What was seen of scales lies about another one than the usual: that becomes the usual one. Steps by which laws move.
-pub(crate) fn recentre(seen: &mut Scales) -> isize {
+/// If the observed slowdowns are centred on another factor than 1, makes that factor the usual speed. Returns the number of
+/// bins by which latency histograms have to be shifted.
+pub(crate) fn recentre(seen: &mut SlowdownProbabilities) -> isize {
     let all: f64 = seen.iter().sum();
-    let mean = seen.iter().zip(SCALES).map(|(s, k)| s * k as f64).sum::<f64>() / all.max(f64::MIN_POSITIVE);
+    let mean =
+        seen.iter().zip(SLOWDOWNS).map(|(s, k)| s * k as f64).sum::<f64>() / all.max(f64::MIN_POSITIVE);
     let by = mean.round() as isize;
-    if by == 0 || seen[OF_USUAL] > all * STILL_USUAL {
+    if by == 0 || seen[NORMAL_INDEX] > all * MIN_NORMAL_SHARE {
         return 0;
     }
-    let mut moved = [0.0; SCALES.len()];
+    let mut moved = [0.0; SLOWDOWNS.len()];
     for (i, s) in seen.iter().enumerate() {
-        let to = (i as isize - by).clamp(0, SCALES.len() as isize - 1);
+        let to = (i as isize - by).clamp(0, SLOWDOWNS.len() as isize - 1);
         moved[to as usize] += s;
     }
     *seen = moved;
-    steps(by)
+    bins_of(by)
 }
 
-/// What is waited for: its part of the whole, the chance that it lives though it has not answered, its law.
+/// A missing answer: its share of the whole, the probability that the member is alive although it has not answered, its
+/// latency, and the probability by which it should have answered so far.
 struct Missing<'a> {
-    part: f64,
-    lives: f64,
-    law: &'a Law,
-    so_far: f64,
+    weight: f64,
+    liveness: f64,
+    latency: &'a LatencyDistribution,
+    probability_so_far: f64,
 }
 
-/// When the wait is over if nothing more arrives, where `laws` say when each of `open.waited` answers.
+/// The time at which the wait should end if nothing more arrives. `latencies` belong to `open.members`.
 ///
-/// Each end of a step until the limit is weighed: the mean worth of what will have arrived by then, less the price of the
-/// time, which ends early where all have arrived. What [`crate::Learned`] does with what it learned; with laws that are
-/// known it is the oracle it is measured against.
+/// The end of each bin up to the deadline is evaluated: the expected worth of what will have arrived by then, less the price
+/// of the time, which is not paid after all answers have arrived. [`crate::LearnedDeadline`] calls this with learned
+/// latencies; with the true ones it is the oracle that learned deadlines are compared with.
 ///
 /// ```
-/// use micadyke_deadline::{Law, Open, Waited, Worth, decide};
+/// use micadyke_deadline::{AskedMember, LatencyDistribution, OpenQuery, Worth, best_wait_end};
 /// let ms = 1_000_000;
-/// let w = |arrived| Waited { name: "n".into(), zone: "z".into(), weight: 1.0, lives: 1.0, arrived };
-/// let open = Open { kind: 0, asked_at: 0, limit: 900 * ms, waited: vec![w(Some(9 * ms)), w(None)] };
-/// let soon = Law::of(|t| if t > 20 * ms { 1.0 } else { 0.0 });
-/// let late = Law::of(|t| if t > 2_000 * ms { 1.0 } else { 0.0 });
-/// assert!(decide(&Worth::default(), 9 * ms, &open, &[soon.clone(), soon.clone()]) >= 20 * ms);
-/// assert_eq!(decide(&Worth::default(), 9 * ms, &open, &[soon, late]), 9 * ms);
+/// let member = |answered_at| {
+///     AskedMember { name: "n".into(), zone: "z".into(), weight: 1.0, liveness: 1.0, answered_at }
+/// };
+/// let members = vec![member(Some(9 * ms)), member(None)];
+/// let open = OpenQuery { kind: 0, asked_at: 0, deadline: 900 * ms, members };
+/// let soon = LatencyDistribution::from_fn(|t| if t > 20 * ms { 1.0 } else { 0.0 });
+/// let late = LatencyDistribution::from_fn(|t| if t > 2_000 * ms { 1.0 } else { 0.0 });
+/// assert!(best_wait_end(&Worth::default(), 9 * ms, &open, &[soon.clone(), soon.clone()]) >= 20 * ms);
+/// assert_eq!(best_wait_end(&Worth::default(), 9 * ms, &open, &[soon, late]), 9 * ms);
 /// ```
-pub fn decide(worth: &Worth, now: Nanos, open: &Open, laws: &[Law]) -> Nanos {
-    decide_by(worth, now, open, &laws.iter().collect::<Vec<_>>())
+pub fn best_wait_end(
+    worth: &Worth, now: Nanos, open: &OpenQuery, latencies: &[LatencyDistribution],
+) -> Nanos {
+    best_wait_end_by_ref(worth, now, open, &latencies.iter().collect::<Vec<_>>())
 }
 
-/// See [`decide`].
-pub(crate) fn decide_by(worth: &Worth, now: Nanos, open: &Open, laws: &[&Law]) -> Nanos {
+/// See [`best_wait_end`].
+pub(crate) fn best_wait_end_by_ref(
+    worth: &Worth, now: Nanos, open: &OpenQuery, latencies: &[&LatencyDistribution],
+) -> Nanos {
     let now = now.max(open.asked_at);
-    let limit = open.limit.min(open.asked_at.saturating_add(worth.most));
+    let limit = open.deadline.min(open.asked_at.saturating_add(worth.max_wait));
     if now >= limit {
         return limit;
     }
-    let whole: f64 = open.waited.iter().filter(|w| w.counts()).map(|w| w.weight).sum();
-    let spent = now - open.asked_at;
+    let whole: f64 = open.members.iter().filter(|w| w.counts_in_whole()).map(|w| w.weight).sum();
+    let elapsed = now - open.asked_at;
     let mut missing: Vec<Missing> = Vec::new();
-    for (w, law) in open.waited.iter().zip(laws) {
-        if w.arrived.is_none() && w.counts() && w.lives > crate::LOST {
-            let so_far = law.by(spent);
-            // Who could have answered and did not is the less likely to live.
-            let alive = w.lives * (1.0 - so_far);
-            let lives = if alive > 0.0 { alive / (alive + 1.0 - w.lives) } else { 0.0 };
-            missing.push(Missing { part: w.weight / whole, lives, law, so_far });
+    for (w, latency) in open.members.iter().zip(latencies) {
+        if w.answered_at.is_none() && w.counts_in_whole() && w.liveness > crate::KNOWN_MISSING {
+            let probability_so_far = latency.probability_by(elapsed);
+            // A member that could have answered already is less likely to be alive.
+            let alive = w.liveness * (1.0 - probability_so_far);
+            let liveness = if alive > 0.0 { alive / (alive + 1.0 - w.liveness) } else { 0.0 };
+            missing.push(Missing { weight: w.weight / whole, liveness, latency, probability_so_far });
         }
     }
-    let here = open.completeness();
+    let completeness = open.completeness();
     if missing.is_empty() || whole <= 0.0 {
         return now;
     }
-    let can = (here + missing.iter().map(|m| m.part).sum::<f64>()).min(1.0);
-    let least = missing.iter().map(|m| m.part).fold(f64::MAX, f64::min);
-    let stands = worth.of(here);
+    let max_completeness = (completeness + missing.iter().map(|m| m.weight).sum::<f64>()).min(1.0);
+    let min_weight = missing.iter().map(|m| m.weight).fold(f64::MAX, f64::min);
+    let current_value = worth.value(completeness);
     let price = worth.price / crate::MS as f64;
-    let (mut best, mut until, mut cost, mut from, mut not_all) = (0.0, now, 0.0, now, 1.0);
-    for b in bin(spent)..=BINS {
-        let end = if b < BINS { open.asked_at.saturating_add(edge(b)).min(limit) } else { limit };
+    let (mut best, mut until, mut cost, mut from, mut incomplete_probability) = (0.0, now, 0.0, now, 1.0);
+    for b in bin_of(elapsed)..=BINS {
+        let end = if b < BINS { open.asked_at.saturating_add(bin_end(b)).min(limit) } else { limit };
         if end <= from {
             continue;
         }
-        let (mut mean, mut var, mut all) = (here, 0.0, 1.0);
+        let (mut mean, mut variance, mut all) = (completeness, 0.0, 1.0);
         for m in &missing {
-            let by = if end < limit { m.law.at(b, 0) } else { m.law.by(end - open.asked_at) };
-            let p = m.lives * ((by - m.so_far) / (1.0 - m.so_far).max(1e-9)).clamp(0.0, 1.0);
-            mean += m.part * p;
-            var += m.part * m.part * p * (1.0 - p);
+            let by = if end < limit {
+                m.latency.at_bin(b, 0)
+            } else {
+                m.latency.probability_by(end - open.asked_at)
+            };
+            let p = m.liveness
+                * ((by - m.probability_so_far) / (1.0 - m.probability_so_far).max(1e-9)).clamp(0.0, 1.0);
+            mean += m.weight * p;
+            variance += m.weight * m.weight * p * (1.0 - p);
             all *= p;
         }
-        // The step is paid for as long as not all are there.
-        cost += price * (end - from) as f64 * (not_all + 1.0 - all) / 2.0;
-        (from, not_all) = (end, 1.0 - all);
-        let value = all * worth.of(can) + (1.0 - all) * partial(worth, here, can, least, mean, var, all)
-            - stands
+        // The time is paid for as long as answers are missing.
+        cost += price * (end - from) as f64 * (incomplete_probability + 1.0 - all) / 2.0;
+        (from, incomplete_probability) = (end, 1.0 - all);
+        let value = all * worth.value(max_completeness)
+            + (1.0 - all)
+                * incomplete_value(worth, completeness, max_completeness, min_weight, mean, variance, all)
+            - current_value
             - cost;
         if value > best {
             (best, until) = (value, end);
         }
-        // Nothing that is still missing pays for more.
-        if end >= limit || worth.of(can) - stands <= cost {
+        // The missing answers can't be worth a longer wait.
+        if end >= limit || worth.value(max_completeness) - current_value <= cost {
             break;
         }
     }
     until
 }
 
-/// The mean worth where not all arrive: by three points of the normal law with the moments that are left.
-fn partial(worth: &Worth, here: f64, can: f64, least: f64, mean: f64, var: f64, all: f64) -> f64 {
+/// The expected worth if not all answers arrive, by a three-point approximation of a normal distribution with the remaining
+/// mean and variance.
+fn incomplete_value(
+    worth: &Worth, completeness: f64, max_completeness: f64, min_weight: f64, mean: f64, variance: f64,
+    all: f64,
+) -> f64 {
     if all >= 1.0 - 1e-9 {
         return 0.0;
     }
-    let rest = (mean - all * can) / (1.0 - all);
-    let square = (var + mean * mean - all * can * can) / (1.0 - all) - rest * rest;
+    let rest = (mean - all * max_completeness) / (1.0 - all);
+    let square =
+        (variance + mean * mean - all * max_completeness * max_completeness) / (1.0 - all) - rest * rest;
     let off = (3.0 * square.max(0.0)).sqrt();
-    let at = |c: f64| worth.of(c.clamp(here, (can - least).max(here)));
+    let at = |c: f64| worth.value(c.clamp(completeness, (max_completeness - min_weight).max(completeness)));
     (at(rest - off) + 4.0 * at(rest) + at(rest + off)) / 6.0
 }
 
-/// How a budget of time is split where gatherers ask for the asker: the span after which a gatherer hands up what it has,
-/// from its own asking, and the span after which the asker ends; both within `budget`, in nanoseconds.
+/// Splits a time budget if members are queried through aggregating nodes. Returns the time from its own query after which an
+/// aggregator returns what it has, and the time after which the asking node ends the query; both within `budget`, in
+/// nanoseconds.
 ///
-/// `below` says when a member has answered its gatherer, from the gatherer's asking; `way` how long the ways to a gatherer
-/// and back take together, so that no clocks are compared. All pairs of steps are weighed by what arrives at the asker.
+/// `below` is the latency of a member as seen by its aggregator, `network` the round-trip time to an aggregator, so that no
+/// clocks are compared. All pairs of bins are evaluated by what arrives at the asking node.
 ///
 /// ```
-/// use micadyke_deadline::{Law, Worth, split};
+/// use micadyke_deadline::{LatencyDistribution, Worth, split};
 /// let ms = 1_000_000;
-/// let below = Law::of(|t| 1.0 - (-(t as f64) / 20e6).exp());
-/// let way = Law::of(|t| if t > 30 * ms { 1.0 } else { 0.0 });
-/// let (lower, whole) = split(&Worth::default(), &below, &way, 100 * ms);
+/// let below = LatencyDistribution::from_fn(|t| 1.0 - (-(t as f64) / 20e6).exp());
+/// let network = LatencyDistribution::from_fn(|t| if t > 30 * ms { 1.0 } else { 0.0 });
+/// let (lower, whole) = split(&Worth::default(), &below, &network, 100 * ms);
 /// assert!(lower <= 71 * ms && whole <= 100 * ms && whole - lower >= 28 * ms);
 /// ```
-pub fn split(worth: &Worth, below: &Law, way: &Law, budget: Nanos) -> (Nanos, Nanos) {
+pub fn split(
+    worth: &Worth, below: &LatencyDistribution, network: &LatencyDistribution, budget: Nanos,
+) -> (Nanos, Nanos) {
     let mut best = (f64::MIN, 0, budget);
-    let ends = || (0..BINS).map(edge).take_while(|e| *e < budget).chain([budget]);
+    let ends = || (0..BINS).map(bin_end).take_while(|e| *e < budget).chain([budget]);
     for whole in ends() {
         for lower in ends().take_while(|l| *l < whole) {
-            let value = worth.after(below.by(lower) * way.by(whole - lower), whole);
+            let value =
+                worth.value_after(below.probability_by(lower) * network.probability_by(whole - lower), whole);
             if value > best.0 {
                 best = (value, lower, whole);
             }
--- a/crates/deadline/src/learned.rs
+++ b/crates/deadline/src/learned.rs
@@ -1,84 +1,89 @@
-//! Learns when members answer, and waits by it.
+//! Learns the answer latencies of members and decides by them how long to wait.
 
-use crate::decide::{Scales, decide_by, in_steps, likeliest, recentre, scales, split, usual};
-use crate::law::{BINS, bin};
-use crate::settings::MOST_KINDS;
-use crate::{Deadline, Error, Law, Nanos, Open, Settings, Worth};
+use crate::decide::{
+    SlowdownProbabilities, best_wait_end_by_ref, bins_with_probabilities, estimate_slowdowns,
+    most_likely_delay, recentre, slowdown_prior, split,
+};
+use crate::latency::{BINS, bin_of};
+use crate::settings::MAX_KINDS;
+use crate::{Deadline, Error, LatencyDistribution, Nanos, OpenQuery, Settings, Worth};
 use std::collections::BTreeMap;
 
-/// Members of a kind that are remembered, 700 bytes each: beyond, the one unheard for longest goes.
-pub const MOST_MEMBERS: usize = 2048;
-/// Zones of a kind that are remembered: beyond, the one unheard for longest goes.
-pub const MOST_ZONES: usize = 64;
-/// The first guess counts as so many answers of the whole kind.
-const GUESS: f64 = 8.0;
-/// The kind's law counts as so many answers of a zone, the zone's as so many of a member.
-const ABOVE: f64 = 16.0;
-/// A span in which the gatherer's own loop was late by more than this part of it says nothing of the member.
-const LATE: Nanos = 8;
-/// Whatever was learned, an answer may be lost: who is missing when all that is known to be slow are in is not waited for.
-const MAY_BE_LOST: f64 = 0.003;
-/// How questions ran before any was seen counts as so many.
-const SCALES_GUESS: f64 = 2.0;
-/// A scale at which so many questions run is not rare.
-const NOT_RARE: f64 = 0.05;
-/// Answers that wait to be learned from at most: one of each member, and late ones.
-const MOST_PENDING: usize = 2 * MOST_MEMBERS;
+/// Maximum number of members remembered for each kind of query, 700 bytes each. Beyond it the one without an observation for
+/// the longest time is evicted.
+pub const MAX_MEMBERS: usize = 2048;
+/// Maximum number of zones remembered for each kind of query, evicted like members.
+pub const MAX_ZONES: usize = 64;
+/// Weight of the initial latency, in answers of all members.
+const GUESS_WEIGHT: f64 = 8.0;
+/// Weight of the latency over all members in that of a zone, and of the zone's in that of a member, in answers.
+const PARENT_WEIGHT: f64 = 16.0;
+/// A latency is not learned if the asking node's own event loop was late by more than the latency divided by this.
+const OWN_DELAY_DIVISOR: Nanos = 8;
+/// Minimum probability that an answer is lost, whatever was learned. Without it, a member that is missing after the usual
+/// latency of even the slowest would be waited for.
+const LOSS_PROBABILITY: f64 = 0.003;
+/// Weight of the prior of slowdowns, in queries.
+const SLOWDOWN_PRIOR_WEIGHT: f64 = 2.0;
+/// Share of queries from which a slowdown is taken into account when a time budget is split.
+const MIN_COMMON_PROBABILITY: f64 = 0.05;
+/// Maximum number of observations that have not been learned from yet: one of each member, and late ones.
+const MAX_PENDING: usize = 2 * MAX_MEMBERS;
 
-/// What the machine consists of beyond counting: the laboratory and tests take one away and look what goes wrong.
+/// The parts of the algorithm. Tests and simulations switch one off to show which failure it prevents.
 #[doc(hidden)]
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Feature {
-    /// Answers that came after the wait are learned from.
+    /// Answers that arrive after the wait are learned from.
     Late,
-    /// Members that were given up or are suspected are waited for by their chance.
-    Lives,
-    /// Members have laws of their own.
+    /// Suspected and removed members are waited for by the probability that they are alive.
+    Liveness,
+    /// Each member has its own latency distribution.
     Members,
-    /// Zones have laws of their own.
+    /// Each zone has its own latency distribution.
     Zones,
-    /// Spans in which the own loop was late are not learned from.
-    Own,
+    /// Latencies are not learned while the asking node's event loop was late.
+    OwnDelay,
     /// Answers count by their weight.
     Weight,
-    /// What is old fades.
+    /// Old observations decay.
     Fade,
-    /// What has arrived in this very question says how it runs.
-    Order,
+    /// The answers so far show whether the current query is slower than usual.
+    Slowdown,
 }
 
-/// How often each span was seen, older ones for less.
+/// A histogram of latencies in which older observations have decayed.
 #[derive(Debug, Clone)]
-struct Seen {
+struct Histogram {
     bins: [f32; BINS + 1],
     sum: f64,
-    at: u64,
+    updated_at: u64,
 }
 
-impl Seen {
+impl Histogram {
     fn new(at: u64) -> Self {
-        Seen { bins: [0.0; BINS + 1], sum: 0.0, at }
+        Histogram { bins: [0.0; BINS + 1], sum: 0.0, updated_at: at }
     }
 
-    fn fade(&mut self, now: u64, keep: f64) {
-        let f = keep.powi(now.saturating_sub(self.at).min(100_000) as i32);
+    fn fade(&mut self, now: u64, decay: f64) {
+        let f = decay.powi(now.saturating_sub(self.updated_at).min(100_000) as i32);
         if f < 1.0 {
             self.bins.iter_mut().for_each(|b| *b *= f as f32);
             self.sum *= f;
         }
-        self.at = now;
+        self.updated_at = now;
     }
 
-    /// What was seen beside `count` answers of a law above, as mass of 1.
-    fn beside(&self, above: &[f64; BINS + 1], count: f64, now: u64, keep: f64) -> [f64; BINS + 1] {
-        let f = keep.powi(now.saturating_sub(self.at).min(100_000) as i32);
+    /// This histogram combined with `count` answers distributed as `parent`, normalised to a mass of 1.
+    fn blend(&self, parent: &[f64; BINS + 1], count: f64, now: u64, decay: f64) -> [f64; BINS + 1] {
+        let f = decay.powi(now.saturating_sub(self.updated_at).min(100_000) as i32);
         let all = self.sum * f + count;
-        let mut mass = *above;
+        let mut mass = *parent;
         mass.iter_mut().zip(self.bins).for_each(|(m, b)| *m = (*m * count + f64::from(b) * f) / all);
         mass
     }
 
-    /// All spans longer by so many steps.
+    /// Increases all latencies by a number of bins.
     fn shift(&mut self, steps: isize) {
         let was = self.bins;
         self.bins[..BINS].fill(0.0);
@@ -88,111 +93,121 @@
     }
 }
 
-/// What was heard of a member.
+/// One observation of a member: its latency, or that it did not answer.
 #[derive(Debug, Clone)]
-struct Heard {
+struct Observation {
     name: String,
     zone: String,
-    took: Nanos,
-    /// It came before the wait was over: it ran at the scale of its question.
+    latency: Nanos,
+    /// The answer arrived before the wait ended, so the slowdown of its query applies to it.
     in_time: bool,
-    /// It never came: that is known after `took`.
-    never: bool,
+    /// The member did not answer within `latency`.
+    missing: bool,
 }
 
+/// What was learned for one kind of query.
 #[derive(Debug, Clone)]
-struct Kind {
-    /// Questions of this kind so far.
+struct KindState {
+    /// Number of queries of this kind so far.
     asked: u64,
-    /// The latest one was asked then.
-    last: Option<Nanos>,
-    /// The last wait was so long.
-    span: Nanos,
-    /// The scale at which the last question runs, by what is known.
-    scale: Scales,
-    /// The own loop was late in it: its scale says nothing.
-    blurred: bool,
-    /// Scales at which questions ran, older ones for less.
-    ran: Scales,
-    /// Laws of those that are waited for in the last question, in their order: nothing is learned while it is the last.
-    laws: Vec<(String, Law)>,
-    /// What was heard since the last question was asked; learned from when the next is, at its scale.
-    pending: Vec<Heard>,
+    /// When the last query was sent.
+    last_asked_at: Option<Nanos>,
+    /// Duration of the last wait.
+    last_wait: Nanos,
+    /// The estimated slowdown of the last query.
+    last_slowdown: SlowdownProbabilities,
+    /// The own event loop was late during the last query, so that its slowdown is unknown.
+    own_loop_late: bool,
+    /// The observed slowdowns of earlier queries, with decay.
+    observed_slowdowns: SlowdownProbabilities,
+    /// The latencies of the members of the last query, in their order. They stay valid until the next query, since nothing
+    /// is learned before.
+    latencies: Vec<(String, LatencyDistribution)>,
+    /// Observations since the last query was sent. They are learned from when the next one is sent, with the slowdown of the
+    /// last.
+    pending: Vec<Observation>,
     guess: [f64; BINS + 1],
-    all: Seen,
-    zones: BTreeMap<String, Seen>,
-    members: BTreeMap<String, Seen>,
+    all: Histogram,
+    zones: BTreeMap<String, Histogram>,
+    members: BTreeMap<String, Histogram>,
 }
 
-/// The one of a name; the one unheard for longest goes where there are `most`.
-fn of<'a>(seen: &'a mut BTreeMap<String, Seen>, name: &str, most: usize, now: u64) -> &'a mut Seen {
-    if !seen.contains_key(name) && seen.len() >= most {
-        let oldest = seen.iter().min_by_key(|s| s.1.at).map(|s| s.0.clone());
-        oldest.map(|o| seen.remove(&o));
+/// The histogram of a name, created if missing. If there are `max_entries` already, the least recently updated is evicted.
+fn entry<'a>(
+    histograms: &'a mut BTreeMap<String, Histogram>, name: &str, max_entries: usize, now: u64,
+) -> &'a mut Histogram {
+    if !histograms.contains_key(name) && histograms.len() >= max_entries {
+        let oldest = histograms.iter().min_by_key(|s| s.1.updated_at).map(|s| s.0.clone());
+        oldest.map(|o| histograms.remove(&o));
     }
-    seen.entry(name.to_owned()).or_insert_with(|| Seen::new(now))
+    histograms.entry(name.to_owned()).or_insert_with(|| Histogram::new(now))
 }
 
-impl Kind {
-    /// Before anything is known: wide about the first guess, one in a hundred never.
+impl KindState {
+    /// The state before any observation: a wide distribution around the initial latency, with one answer in a hundred
+    /// missing.
     fn new(worth: &Worth) -> Self {
         let mut guess = [0.0; BINS + 1];
-        let middle = bin(worth.first) as f64;
+        let middle = bin_of(worth.initial_latency) as f64;
         for (b, g) in guess[..BINS].iter_mut().enumerate() {
             *g = (-((b as f64 - middle) / 8.0).powi(2) / 2.0).exp();
         }
         let sum: f64 = guess.iter().sum();
         guess.iter_mut().for_each(|g| *g *= 0.99 / sum);
         guess[BINS] = 0.01;
-        Kind {
+        KindState {
             asked: 0,
-            last: None,
-            span: 0,
-            scale: usual(),
-            blurred: false,
-            ran: [0.0; _],
-            laws: Vec::new(),
+            last_asked_at: None,
+            last_wait: 0,
+            last_slowdown: slowdown_prior(),
+            own_loop_late: false,
+            observed_slowdowns: [0.0; _],
+            latencies: Vec::new(),
             pending: Vec::new(),
             guess,
-            all: Seen::new(0),
+            all: Histogram::new(0),
             zones: BTreeMap::new(),
             members: BTreeMap::new(),
         }
     }
 
-    /// Chances of the scale of a question of which nothing was heard.
-    fn scales(&self) -> Scales {
-        let all = self.ran.iter().sum::<f64>() + SCALES_GUESS;
-        let mut chances = usual();
-        chances.iter_mut().zip(self.ran).for_each(|(c, r)| *c = (*c * SCALES_GUESS + r) / all);
+    /// The probabilities of slowdowns of a query before its first answer.
+    fn slowdowns(&self) -> SlowdownProbabilities {
+        let all = self.observed_slowdowns.iter().sum::<f64>() + SLOWDOWN_PRIOR_WEIGHT;
+        let mut chances = slowdown_prior();
+        chances
+            .iter_mut()
+            .zip(self.observed_slowdowns)
+            .for_each(|(c, r)| *c = (*c * SLOWDOWN_PRIOR_WEIGHT + r) / all);
         chances
     }
 
-    /// When any answers, without a word of who: at each scale by its chance.
-    fn law(&self, keep: f64) -> Law {
-        self.unscaled(keep).mixed(&in_steps(&self.scales()))
+    /// The latency of any member, averaged over slowdowns.
+    fn latency(&self, decay: f64) -> LatencyDistribution {
+        self.unscaled_latency(decay).mixture(&bins_with_probabilities(&self.slowdowns()))
     }
 
-    /// When any answers where the question runs as usual.
-    fn unscaled(&self, keep: f64) -> Law {
-        Law::from(&self.all.beside(&self.guess, GUESS, self.asked, keep))
+    /// The latency of any member in a query without slowdown.
+    fn unscaled_latency(&self, decay: f64) -> LatencyDistribution {
+        LatencyDistribution::from_mass(&self.all.blend(&self.guess, GUESS_WEIGHT, self.asked, decay))
     }
 
-    /// Learns from what was heard in the last question, at its scale.
-    fn digest(&mut self, keep: f64, order: bool) {
-        let clear = order && !self.blurred && self.last.is_some();
-        if self.blurred && self.pending.is_empty() {
-            // What teaches nothing makes nothing older: else who is late for long would forget what it knew.
+    /// Learns from the pending observations, corrected by the slowdown of the last query.
+    fn learn_pending(&mut self, decay: f64, order: bool) {
+        let slowdown_known = order && !self.own_loop_late && self.last_asked_at.is_some();
+        if self.own_loop_late && self.pending.is_empty() {
+            // A query without observations does not age what was learned, or a node that is late for long would forget it.
             self.asked = self.asked.saturating_sub(1);
         }
-        self.laws.clear();
-        let (steps, now) = (if clear { likeliest(&self.scale) } else { 0 }, self.asked);
+        self.latencies.clear();
+        let (steps, now) =
+            (if slowdown_known { most_likely_delay(&self.last_slowdown) } else { 0 }, self.asked);
         for h in std::mem::take(&mut self.pending) {
             let mut one = [0.0; BINS + 1];
-            let at = bin(h.took);
-            if h.never {
-                // It answers later than that, or never: as those do that were heard of.
-                let mut mass = self.all.beside(&self.guess, GUESS, now, keep);
+            let at = bin_of(h.latency);
+            if h.missing {
+                // It will answer later than that or never, with the probabilities observed of all members.
+                let mut mass = self.all.blend(&self.guess, GUESS_WEIGHT, now, decay);
                 mass[..at].fill(0.0);
                 let sum = mass.iter().sum::<f64>().max(f64::MIN_POSITIVE);
                 one.iter_mut().zip(mass).for_each(|(o, m)| *o = (m / sum) as f32);
@@ -201,17 +216,17 @@
             } else {
                 one[(at as isize - steps).clamp(0, BINS as isize - 1) as usize] = 1.0;
             }
-            let member = of(&mut self.members, &h.name, MOST_MEMBERS, now);
-            let zone = of(&mut self.zones, &h.zone, MOST_ZONES, now);
+            let member = entry(&mut self.members, &h.name, MAX_MEMBERS, now);
+            let zone = entry(&mut self.zones, &h.zone, MAX_ZONES, now);
             for seen in [&mut self.all, zone, member] {
-                seen.fade(now, keep);
+                seen.fade(now, decay);
                 seen.bins.iter_mut().zip(one).for_each(|(b, o)| *b += o);
                 seen.sum += 1.0;
             }
         }
-        if clear {
-            self.ran.iter_mut().zip(self.scale).for_each(|(r, s)| *r = *r * keep + s);
-            let moved = recentre(&mut self.ran);
+        if slowdown_known {
+            self.observed_slowdowns.iter_mut().zip(self.last_slowdown).for_each(|(r, s)| *r = *r * decay + s);
+            let moved = recentre(&mut self.observed_slowdowns);
             if moved != 0 {
                 let all = std::iter::once(&mut self.all).chain(self.zones.values_mut());
                 all.chain(self.members.values_mut()).for_each(|seen| seen.shift(moved));
@@ -220,60 +235,64 @@
     }
 }
 
-/// Waits by what it learned, for each kind of question by itself.
+/// A deadline learned from the latencies of earlier answers, for each kind of query separately.
 ///
-/// Bounds: [`crate::settings::MOST_KINDS`] kinds (further ones wait by the first guess), [`MOST_MEMBERS`] members and
-/// [`MOST_ZONES`] zones of each; 1.5 MB a kind at most.
+/// Memory is bounded by [`crate::settings::MAX_KINDS`] kinds (further ones use the initial latency) with [`MAX_MEMBERS`]
+/// members and [`MAX_ZONES`] zones each, at most 1.5 MB for each kind.
 ///
 /// ```
-/// use micadyke_deadline::{Deadline, Learned, Open, Settings, Waited};
+/// use micadyke_deadline::{AskedMember, Deadline, LearnedDeadline, OpenQuery, Settings};
 /// let ms = 1_000_000;
-/// let mut learned = Learned::new(Settings::default())?;
-/// let w = |name: &str| Waited { name: name.into(), zone: "z".into(), weight: 1.0, lives: 1.0, arrived: None };
-/// let mut open = Open { kind: 0, asked_at: 0, limit: 900 * ms, waited: vec![w("n1"), w("n2")] };
+/// let mut learned = LearnedDeadline::new(Settings::default())?;
+/// let member = |name: &str| {
+///     AskedMember { name: name.into(), zone: "z".into(), weight: 1.0, liveness: 1.0, answered_at: None }
+/// };
+/// let members = vec![member("n1"), member("n2")];
+/// let mut open = OpenQuery { kind: 0, asked_at: 0, deadline: 900 * ms, members };
 /// for n in 0..100 {
 ///     open.asked_at = n * 1_000 * ms;
-///     open.limit = open.asked_at + 900 * ms;
-///     learned.until(open.asked_at, &open);
-///     learned.arrived(0, "n1", "z", 5 * ms, 0);
-///     learned.arrived(0, "n2", "z", 30 * ms, 0);
+///     open.deadline = open.asked_at + 900 * ms;
+///     learned.wait_until(open.asked_at, &open);
+///     learned.record_answer(0, "n1", "z", 5 * ms, 0);
+///     learned.record_answer(0, "n2", "z", 30 * ms, 0);
 /// }
-/// let span = learned.until(open.asked_at, &open) - open.asked_at;
-/// assert!((30 * ms..150 * ms).contains(&span), "{span}");
+/// let wait = learned.wait_until(open.asked_at, &open) - open.asked_at;
+/// assert!((30 * ms..150 * ms).contains(&wait), "{wait}");
 /// # Ok::<(), micadyke_deadline::Error>(())
 /// ```
 #[derive(Debug, Clone)]
-pub struct Learned {
+pub struct LearnedDeadline {
     settings: Settings,
-    /// What one question leaves of what was seen before.
-    keep: f64,
-    kinds: BTreeMap<u8, Kind>,
+    /// The factor by which one query decays earlier observations.
+    decay: f64,
+    kinds: BTreeMap<u8, KindState>,
     without: Option<Feature>,
 }
 
-impl Learned {
-    /// One that knows nothing yet.
+impl LearnedDeadline {
+    /// A deadline without observations.
     ///
     /// # Errors
     ///
-    /// The settings' first fault.
+    /// The first invalid setting.
     ///
     /// ```
-    /// use micadyke_deadline::{Error, Learned, Settings};
-    /// assert_eq!(Learned::new(Settings { remember: 1, ..Settings::default() }).err(), Some(Error::Remember(1)));
+    /// use micadyke_deadline::{Error, LearnedDeadline, Settings};
+    /// let settings = Settings { memory: 1, ..Settings::default() };
+    /// assert_eq!(LearnedDeadline::new(settings).err(), Some(Error::Memory(1)));
     /// ```
     pub fn new(settings: Settings) -> Result<Self, Error> {
         settings.check()?;
-        let keep = 1.0 - 1.0 / f64::from(settings.remember);
-        Ok(Learned { settings, keep, kinds: BTreeMap::new(), without: None })
+        let decay = 1.0 - 1.0 / f64::from(settings.memory);
+        Ok(LearnedDeadline { settings, decay, kinds: BTreeMap::new(), without: None })
     }
 
-    /// Without one of its parts.
+    /// Switches one part of the algorithm off.
     #[doc(hidden)]
     pub fn without(mut self, feature: Option<Feature>) -> Self {
         self.without = feature;
         if !self.has(Feature::Fade) {
-            self.keep = 1.0;
+            self.decay = 1.0;
         }
         self
     }
@@ -282,168 +301,171 @@
         self.without != Some(feature)
     }
 
-    /// A kind's book; none for one too many.
-    fn kind(&mut self, kind: u8) -> Option<&mut Kind> {
-        if !self.kinds.contains_key(&kind) && self.kinds.len() >= MOST_KINDS {
+    /// The state of a kind, created if missing; `None` if there are too many kinds.
+    fn kind_mut(&mut self, kind: u8) -> Option<&mut KindState> {
+        if !self.kinds.contains_key(&kind) && self.kinds.len() >= MAX_KINDS {
             return None;
         }
         let worth = self.settings.worth(kind);
-        Some(self.kinds.entry(kind).or_insert_with(|| Kind::new(worth)))
+        Some(self.kinds.entry(kind).or_insert_with(|| KindState::new(worth)))
     }
 
-    /// When any member answers a kind of question, the first guess included.
+    /// The latency of any member for a kind of query, including the weight of the initial latency.
     ///
     /// ```
-    /// use micadyke_deadline::{Learned, Settings};
-    /// let learned = Learned::new(Settings::default())?;
-    /// assert!((learned.law(0).by(20_000_000) - 0.5).abs() < 0.1);   // nothing heard: the first guess
+    /// use micadyke_deadline::{LearnedDeadline, Settings};
+    /// let learned = LearnedDeadline::new(Settings::default())?;
+    /// // Without observations it is centred on the initial latency.
+    /// assert!((learned.latency(0).probability_by(20_000_000) - 0.5).abs() < 0.1);
     /// # Ok::<(), micadyke_deadline::Error>(())
     /// ```
-    pub fn law(&self, kind: u8) -> Law {
+    pub fn latency(&self, kind: u8) -> LatencyDistribution {
         match self.kinds.get(&kind) {
-            Some(k) => k.law(self.keep),
-            None => Kind::new(self.settings.worth(kind)).law(self.keep),
+            Some(k) => k.latency(self.decay),
+            None => KindState::new(self.settings.worth(kind)).latency(self.decay),
         }
     }
 
-    /// Kinds, members and zones that are remembered, of all kinds together.
+    /// Numbers of remembered kinds, members and zones, the latter two over all kinds.
     ///
     /// ```
-    /// use micadyke_deadline::{Learned, Settings};
-    /// assert_eq!(Learned::new(Settings::default())?.books(), (0, 0, 0));
+    /// use micadyke_deadline::{LearnedDeadline, Settings};
+    /// assert_eq!(LearnedDeadline::new(Settings::default())?.sizes(), (0, 0, 0));
     /// # Ok::<(), micadyke_deadline::Error>(())
     /// ```
-    pub fn books(&self) -> (usize, usize, usize) {
-        let sum = |of: fn(&Kind) -> usize| self.kinds.values().map(of).sum();
+    pub fn sizes(&self) -> (usize, usize, usize) {
+        let sum = |of: fn(&KindState) -> usize| self.kinds.values().map(of).sum();
         (self.kinds.len(), sum(|k| k.members.len()), sum(|k| k.zones.len()))
     }
 
-    /// Splits a budget of time over two levels by what was learned: see [`split`]. `below` is the kind that the members
-    /// answer, `way` the kind under which the ways of gatherers' answers were told; `worth` is of `below`.
+    /// Splits a time budget over two levels by the learned latencies: see [`split`]. `below` is the kind of query that
+    /// members answer, `network` the kind under which the round-trip times to aggregators were recorded. The worth is that
+    /// of `below`.
     ///
-    /// What a gatherer is given is a limit, and it ends sooner by what it sees itself: where some questions run slower, it is
-    /// the limit of the slowest scale that is not rare.
+    /// The time of an aggregator is an upper limit, as it also ends its wait by its own observations. If some queries are
+    /// slower, it is the limit for the largest slowdown that is not rare.
     ///
     /// ```
-    /// use micadyke_deadline::{Learned, Settings};
-    /// let (lower, whole) = Learned::new(Settings::default())?.split(0, 1, 300_000_000);
+    /// use micadyke_deadline::{LearnedDeadline, Settings};
+    /// let (lower, whole) = LearnedDeadline::new(Settings::default())?.split(0, 1, 300_000_000);
     /// assert!(lower < whole && whole <= 300_000_000);
     /// # Ok::<(), micadyke_deadline::Error>(())
     /// ```
-    pub fn split(&self, below: u8, way: u8, budget: Nanos) -> (Nanos, Nanos) {
+    pub fn split(&self, below: u8, network: u8, budget: Nanos) -> (Nanos, Nanos) {
         let worth = self.settings.worth(below);
-        let way = self.law(way);
+        let network = self.latency(network);
         let fresh;
         let kind = match self.kinds.get(&below) {
             Some(kind) => kind,
             None => {
-                fresh = Kind::new(worth);
+                fresh = KindState::new(worth);
                 &fresh
             }
         };
-        let law = kind.unscaled(self.keep);
-        let scales = in_steps(&kind.scales());
-        let some = scales.iter().filter(|s| s.0 == 0 || s.1 >= NOT_RARE);
-        let ends = some.map(|s| split(worth, &law.mixed(&[(s.0, 1.0)]), &way, budget));
+        let latency = kind.unscaled_latency(self.decay);
+        let scales = bins_with_probabilities(&kind.slowdowns());
+        let common = scales.iter().filter(|s| s.0 == 0 || s.1 >= MIN_COMMON_PROBABILITY);
+        let ends = common.map(|s| split(worth, &latency.mixture(&[(s.0, 1.0)]), &network, budget));
         ends.max().unwrap_or((0, budget))
     }
 
-    /// The laws of all that are waited for, as far as they were not worked out for this question before.
-    fn laws(&mut self, open: &Open) {
-        let (keep, by_zone, by_member) = (self.keep, self.has(Feature::Zones), self.has(Feature::Members));
-        let Some(kind) = self.kind(open.kind) else { return };
-        let same = kind.laws.iter().zip(&open.waited).take_while(|(l, w)| l.0 == w.name).count();
-        kind.laws.truncate(same);
-        if same == open.waited.len() {
+    /// Computes the latencies of the queried members, as far as that was not done for this query before.
+    fn update_latencies(&mut self, open: &OpenQuery) {
+        let (decay, by_zone, by_member) = (self.decay, self.has(Feature::Zones), self.has(Feature::Members));
+        let Some(kind) = self.kind_mut(open.kind) else { return };
+        let same = kind.latencies.iter().zip(&open.members).take_while(|(l, w)| l.0 == w.name).count();
+        kind.latencies.truncate(same);
+        if same == open.members.len() {
             return;
         }
-        let all = kind.all.beside(&kind.guess, GUESS, kind.asked, keep);
+        let all = kind.all.blend(&kind.guess, GUESS_WEIGHT, kind.asked, decay);
         let mut zones: BTreeMap<&str, [f64; BINS + 1]> = BTreeMap::new();
-        for w in &open.waited[same..] {
+        for w in &open.members[same..] {
             let zone = zones.entry(&w.zone).or_insert_with(|| match kind.zones.get(&w.zone) {
-                Some(z) if by_zone => z.beside(&all, ABOVE, kind.asked, keep),
+                Some(z) if by_zone => z.blend(&all, PARENT_WEIGHT, kind.asked, decay),
                 _ => all,
             });
             let mut mass = match kind.members.get(&w.name) {
-                Some(m) if by_member => m.beside(zone, ABOVE, kind.asked, keep),
+                Some(m) if by_member => m.blend(zone, PARENT_WEIGHT, kind.asked, decay),
                 _ => *zone,
             };
-            mass.iter_mut().for_each(|m| *m *= 1.0 - MAY_BE_LOST);
-            mass[BINS] += MAY_BE_LOST;
-            kind.laws.push((w.name.clone(), Law::from(&mass)));
+            mass.iter_mut().for_each(|m| *m *= 1.0 - LOSS_PROBABILITY);
+            mass[BINS] += LOSS_PROBABILITY;
+            kind.latencies.push((w.name.clone(), LatencyDistribution::from_mass(&mass)));
         }
     }
 
-    fn heard(&mut self, kind: u8, heard: Heard) {
-        let (keep, order) = (self.keep, self.has(Feature::Order));
-        let Some(kind) = self.kind(kind) else { return };
-        if kind.pending.len() >= MOST_PENDING {
-            kind.digest(keep, order);
+    fn observe(&mut self, kind: u8, observation: Observation) {
+        let (decay, order) = (self.decay, self.has(Feature::Slowdown));
+        let Some(kind) = self.kind_mut(kind) else { return };
+        if kind.pending.len() >= MAX_PENDING {
+            kind.learn_pending(decay, order);
         }
-        kind.pending.push(heard);
+        kind.pending.push(observation);
     }
 }
 
-impl Deadline for Learned {
-    fn until(&mut self, now: Nanos, open: &Open) -> Nanos {
-        let (keep, order) = (self.keep, self.has(Feature::Order));
-        if let Some(kind) = self.kind(open.kind)
-            && kind.last < Some(open.asked_at)
+impl Deadline for LearnedDeadline {
+    fn wait_until(&mut self, now: Nanos, open: &OpenQuery) -> Nanos {
+        let (decay, order) = (self.decay, self.has(Feature::Slowdown));
+        if let Some(kind) = self.kind_mut(open.kind)
+            && kind.last_asked_at < Some(open.asked_at)
         {
-            kind.digest(keep, order);
-            (kind.last, kind.scale, kind.blurred) = (Some(open.asked_at), kind.scales(), false);
+            kind.learn_pending(decay, order);
+            (kind.last_asked_at, kind.last_slowdown, kind.own_loop_late) =
+                (Some(open.asked_at), kind.slowdowns(), false);
             kind.asked += 1;
-            kind.laws.clear();
+            kind.latencies.clear();
         }
         let mut changed;
         let mut open = open;
-        if !self.has(Feature::Lives) || !self.has(Feature::Weight) {
+        if !self.has(Feature::Liveness) || !self.has(Feature::Weight) {
             changed = open.clone();
-            for w in &mut changed.waited {
-                w.lives = if self.has(Feature::Lives) { w.lives } else { 1.0 };
+            for w in &mut changed.members {
+                w.liveness = if self.has(Feature::Liveness) { w.liveness } else { 1.0 };
                 w.weight = if self.has(Feature::Weight) { w.weight } else { 1.0 };
             }
             open = &changed;
         }
-        self.laws(open);
+        self.update_latencies(open);
         let worth = self.settings.worth(open.kind);
         let Some(kind) = self.kinds.get_mut(&open.kind) else {
-            // One kind too many: by the first guess.
-            let law = Kind::new(worth).law(keep);
-            return decide_by(worth, now, open, &vec![&law; open.waited.len()]);
+            // There are too many kinds: use the initial latency.
+            let latency = KindState::new(worth).latency(decay);
+            return best_wait_end_by_ref(worth, now, open, &vec![&latency; open.members.len()]);
         };
-        let mut laws: Vec<&Law> = kind.laws.iter().map(|l| &l.1).collect();
-        let mut mixed: Vec<(usize, Law)> = Vec::new();
+        let mut latencies: Vec<&LatencyDistribution> = kind.latencies.iter().map(|l| &l.1).collect();
+        let mut mixed: Vec<(usize, LatencyDistribution)> = Vec::new();
         if order {
-            let (zones, scale) = scales(now, open, &laws, &kind.scales());
-            kind.scale = scale;
-            for (i, w) in open.waited.iter().enumerate().filter(|(_, w)| w.arrived.is_none()) {
+            let (zones, scale) = estimate_slowdowns(now, open, &latencies, &kind.slowdowns());
+            kind.last_slowdown = scale;
+            for (i, w) in open.members.iter().enumerate().filter(|(_, w)| w.answered_at.is_none()) {
                 if let Some(of) = zones.get(&w.zone)
                     && of.iter().any(|s| s.0 != 0)
                 {
-                    mixed.push((i, laws[i].mixed(of)));
+                    mixed.push((i, latencies[i].mixture(of)));
                 }
             }
         }
-        mixed.iter().for_each(|(i, law)| laws[*i] = law);
-        let until = decide_by(worth, now, open, &laws);
-        kind.span = until.saturating_sub(open.asked_at);
+        mixed.iter().for_each(|(i, latency)| latencies[*i] = latency);
+        let until = best_wait_end_by_ref(worth, now, open, &latencies);
+        kind.last_wait = until.saturating_sub(open.asked_at);
         until
     }
 
-    fn arrived(&mut self, kind: u8, name: &str, zone: &str, took: Nanos, own_delay: Nanos) {
-        let own = self.has(Feature::Own) && own_delay.saturating_mul(LATE) > took;
-        let in_time = self.kinds.get(&kind).is_none_or(|k| took <= k.span);
-        if own {
-            self.kind(kind).into_iter().for_each(|k| k.blurred = true);
+    fn record_answer(&mut self, kind: u8, name: &str, zone: &str, took: Nanos, own_delay: Nanos) {
+        let own_loop_late = self.has(Feature::OwnDelay) && own_delay.saturating_mul(OWN_DELAY_DIVISOR) > took;
+        let in_time = self.kinds.get(&kind).is_none_or(|k| took <= k.last_wait);
+        if own_loop_late {
+            self.kind_mut(kind).into_iter().for_each(|k| k.own_loop_late = true);
         } else if in_time || self.has(Feature::Late) {
             let (name, zone) = (name.to_owned(), zone.to_owned());
-            self.heard(kind, Heard { name, zone, took, in_time, never: false });
+            self.observe(kind, Observation { name, zone, latency: took, in_time, missing: false });
         }
     }
 
-    fn missed(&mut self, kind: u8, name: &str, zone: &str, after: Nanos) {
+    fn record_missing(&mut self, kind: u8, name: &str, zone: &str, after: Nanos) {
         let (name, zone) = (name.to_owned(), zone.to_owned());
-        self.heard(kind, Heard { name, zone, took: after, in_time: false, never: true });
+        self.observe(kind, Observation { name, zone, latency: after, in_time: false, missing: true });
     }
 }
--- a/crates/directory/src/answer.rs
+++ b/crates/directory/src/answer.rs
@@ -100,10 +100,10 @@
     /// The part of the living members whose books are accounted for, 0 to 1.
     ///
     /// ```
-    /// use micadyke_deadline::Fixed;
+    /// use micadyke_deadline::FixedDeadline;
     /// use micadyke_directory::{Directory, Input, Key, MS, Output, SECOND, Seen, Settings};
     ///
-    /// let mut d = Directory::new(Settings::new("n1", 1), Box::new(Fixed(50 * MS)), 0);
+    /// let mut d = Directory::new(Settings::new("n1", 1), Box::new(FixedDeadline(50 * MS)), 0);
     /// let (up, mut out) = (Seen::Up { name: "n2".into(), start: 1, zone: String::new() }, Vec::new());
     /// d.handle(0, Input::View(up), &mut out);
     /// d.handle(SECOND, Input::Wake, &mut out);
@@ -122,9 +122,9 @@
     /// Who was asked and neither answered, nor was busy, nor was given up.
     ///
     /// ```
-    /// # use micadyke_deadline::Fixed;
+    /// # use micadyke_deadline::FixedDeadline;
     /// # use micadyke_directory::*;
-    /// let mut d = Directory::new(Settings::new("n1", 1), Box::new(Fixed(50 * MS)), 0);
+    /// let mut d = Directory::new(Settings::new("n1", 1), Box::new(FixedDeadline(50 * MS)), 0);
     /// let (up, mut out) = (Seen::Up { name: "n2".into(), start: 1, zone: String::new() }, Vec::new());
     /// d.handle(0, Input::View(up), &mut out);
     /// d.handle(SECOND, Input::Started(&Session::new("news", "v1", "s3")), &mut out);
@@ -173,9 +173,9 @@
     /// Where it plays, as of the age of each.
     ///
     /// ```
-    /// # use micadyke_deadline::Fixed;
+    /// # use micadyke_deadline::FixedDeadline;
     /// # use micadyke_directory::*;
-    /// let mut alone = Directory::new(Settings::new("n1", 1), Box::new(Fixed(50 * MS)), 0);
+    /// let mut alone = Directory::new(Settings::new("n1", 1), Box::new(FixedDeadline(50 * MS)), 0);
     /// let mut out = Vec::new();
     /// alone.handle(0, Input::Started(&Session::new("news", "v1", "s3")), &mut out);
     /// alone.ask(MS, Key::Title("news".into()), SECOND, &mut out)?;
@@ -190,9 +190,9 @@
     /// How many sessions there are.
     ///
     /// ```
-    /// # use micadyke_deadline::Fixed;
+    /// # use micadyke_deadline::FixedDeadline;
     /// # use micadyke_directory::*;
-    /// let mut alone = Directory::new(Settings::new("n1", 1), Box::new(Fixed(50 * MS)), 0);
+    /// let mut alone = Directory::new(Settings::new("n1", 1), Box::new(FixedDeadline(50 * MS)), 0);
     /// let mut out = Vec::new();
     /// alone.handle(0, Input::Started(&Session::new("news", "v1", "s3")), &mut out);
     /// alone.ask(MS, Key::Title("news".into()), SECOND, &mut out)?;
@@ -207,9 +207,9 @@
     /// How it came about.
     ///
     /// ```
-    /// # use micadyke_deadline::Fixed;
+    /// # use micadyke_deadline::FixedDeadline;
     /// # use micadyke_directory::*;
-    /// let mut alone = Directory::new(Settings::new("n1", 1), Box::new(Fixed(50 * MS)), 0);
+    /// let mut alone = Directory::new(Settings::new("n1", 1), Box::new(FixedDeadline(50 * MS)), 0);
     /// let mut out = Vec::new();
     /// alone.handle(0, Input::Started(&Session::new("news", "v1", "s3")), &mut out);
     /// alone.ask(MS, Key::Title("news".into()), SECOND, &mut out)?;
@@ -226,9 +226,9 @@
     /// Where it plays at least.
     ///
     /// ```
-    /// # use micadyke_deadline::Fixed;
+    /// # use micadyke_deadline::FixedDeadline;
     /// # use micadyke_directory::*;
-    /// let mut d = Directory::new(Settings::new("n1", 1), Box::new(Fixed(50 * MS)), 0);
+    /// let mut d = Directory::new(Settings::new("n1", 1), Box::new(FixedDeadline(50 * MS)), 0);
     /// let (up, mut out) = (Seen::Up { name: "n2".into(), start: 1, zone: String::new() }, Vec::new());
     /// d.handle(0, Input::View(up), &mut out);
     /// d.handle(SECOND, Input::Started(&Session::new("news", "v1", "s3")), &mut out);
@@ -250,9 +250,9 @@
     /// How many sessions there are at least.
     ///
     /// ```
-    /// # use micadyke_deadline::Fixed;
+    /// # use micadyke_deadline::FixedDeadline;
     /// # use micadyke_directory::*;
-    /// let mut d = Directory::new(Settings::new("n1", 1), Box::new(Fixed(50 * MS)), 0);
+    /// let mut d = Directory::new(Settings::new("n1", 1), Box::new(FixedDeadline(50 * MS)), 0);
     /// let (up, mut out) = (Seen::Up { name: "n2".into(), start: 1, zone: String::new() }, Vec::new());
     /// d.handle(0, Input::View(up), &mut out);
     /// d.handle(SECOND, Input::Started(&Session::new("news", "v1", "s3")), &mut out);
@@ -274,9 +274,9 @@
     /// How it came about.
     ///
     /// ```
-    /// # use micadyke_deadline::Fixed;
+    /// # use micadyke_deadline::FixedDeadline;
     /// # use micadyke_directory::*;
-    /// let mut d = Directory::new(Settings::new("n1", 1), Box::new(Fixed(50 * MS)), 0);
+    /// let mut d = Directory::new(Settings::new("n1", 1), Box::new(FixedDeadline(50 * MS)), 0);
     /// let (up, mut out) = (Seen::Up { name: "n2".into(), start: 1, zone: String::new() }, Vec::new());
     /// d.handle(0, Input::View(up), &mut out);
     /// d.handle(SECOND, Input::Started(&Session::new("news", "v1", "s3")), &mut out);
@@ -313,9 +313,9 @@
     /// How it came about.
     ///
     /// ```
-    /// # use micadyke_deadline::Fixed;
+    /// # use micadyke_deadline::FixedDeadline;
     /// # use micadyke_directory::*;
-    /// let mut alone = Directory::new(Settings::new("n1", 1), Box::new(Fixed(50 * MS)), 0);
+    /// let mut alone = Directory::new(Settings::new("n1", 1), Box::new(FixedDeadline(50 * MS)), 0);
     /// let mut out = Vec::new();
     /// alone.handle(0, Input::Started(&Session::new("news", "v1", "s3")), &mut out);
     /// alone.ask(MS, Key::Title("news".into()), SECOND, &mut out)?;
--- a/crates/directory/src/asking.rs
+++ b/crates/directory/src/asking.rs
@@ -2,7 +2,7 @@
 
 use crate::answer::{Answer, Entry, Report, Why};
 use crate::{Key, MS, Nanos};
-use micadyke_deadline::{Deadline, LOST, Open, Waited};
+use micadyke_deadline::{AskedMember, Deadline, KNOWN_MISSING, OpenQuery};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Pages of an answer at most: a title that plays at more servers and nodes than these hold is told in part.
@@ -37,7 +37,7 @@
     pub until: Nanos,
     /// Its answer was given; it stays for those that answer late.
     pub closed: Option<Nanos>,
-    waited: Vec<Waited>,
+    waited: Vec<AskedMember>,
     /// Who was given up by the view, or left.
     gone: BTreeSet<String>,
     /// Who left, having ended its work: its book is empty.
@@ -58,7 +58,7 @@
 impl Question {
     /// A question to these, in a view of those; the asker's own rows are told at once.
     pub fn new(
-        key: Key, now: Nanos, limit: Nanos, waited: Vec<Waited>, roster: Vec<String>, me: &str,
+        key: Key, now: Nanos, limit: Nanos, waited: Vec<AskedMember>, roster: Vec<String>, me: &str,
         own: Vec<Entry>,
     ) -> Self {
         let roster = roster.into_iter().map(|n| (n == me, n)).map(|(own, n)| (n, own)).collect();
@@ -93,15 +93,16 @@
 
     /// Whether an answer may still come, in time or late.
     pub fn awaits(&self) -> bool {
-        self.waited.iter().any(|w| w.arrived.is_none() && !self.gone.contains(&w.name))
+        self.waited.iter().any(|w| w.answered_at.is_none() && !self.gone.contains(&w.name))
     }
 
     /// Asks the deadline anew, of those that the view has not given up.
     pub fn reckon(&mut self, now: Nanos, deadline: &mut dyn Deadline) {
         // What is known here came from nobody.
-        let others = |w: &&Waited| w.name != self.me;
-        let counts = |w: &&Waited| !self.gone.contains(&w.name) && !self.busy.contains(&w.name);
-        let mut waited: Vec<Waited> = self.waited.iter().filter(others).filter(counts).cloned().collect();
+        let others = |w: &&AskedMember| w.name != self.me;
+        let counts = |w: &&AskedMember| !self.gone.contains(&w.name) && !self.busy.contains(&w.name);
+        let mut waited: Vec<AskedMember> =
+            self.waited.iter().filter(others).filter(counts).cloned().collect();
         if waited.is_empty() {
             self.until = now.min(self.limit);
             return;
@@ -109,16 +110,27 @@
         // A book that is accounted for stands to who covered it first; what is not yet, to those that are missing alike.
         let (members, covered) = self.covered();
         let rest = (members - covered) as f64 / members.max(1) as f64;
-        let missing = waited.iter().filter(|w| w.arrived.is_none()).count().max(1) as f64;
-        waited.iter_mut().filter(|w| w.arrived.is_none()).for_each(|w| w.weight = rest / missing);
+        let missing = waited.iter().filter(|w| w.answered_at.is_none()).count().max(1) as f64;
+        waited.iter_mut().filter(|w| w.answered_at.is_none()).for_each(|w| w.weight = rest / missing);
         let known = 1.0 - waited.iter().map(|w| w.weight).sum::<f64>();
         if known > 0.0 {
             // Known here from the start: a part of the whole, and no word of how quick others are.
             let (name, zone) = (self.me.clone(), String::new());
-            waited.push(Waited { name, zone, weight: known, lives: LOST, arrived: Some(self.asked_at) });
+            waited.push(AskedMember {
+                name,
+                zone,
+                weight: known,
+                liveness: KNOWN_MISSING,
+                answered_at: Some(self.asked_at),
+            });
         }
-        let open = Open { kind: self.key.parts().0, asked_at: self.asked_at, limit: self.limit, waited };
-        self.until = deadline.until(now, &open).min(self.limit);
+        let open = OpenQuery {
+            kind: self.key.parts().0,
+            asked_at: self.asked_at,
+            deadline: self.limit,
+            members: waited,
+        };
+        self.until = deadline.wait_until(now, &open).min(self.limit);
     }
 
     /// Books that may still be accounted for, and those of them that are: what the wait goes by.
@@ -143,13 +155,13 @@
     fn arrived(&mut self, now: Nanos, from: &str, books: Option<usize>, deadline: &mut dyn Deadline) {
         let (kind, took, own) = (self.key.parts().0, now - self.asked_at, self.own_delay);
         let members = self.covered().0.max(1) as f64;
-        let Some(waited) = self.waited.iter_mut().find(|w| w.name == from && w.arrived.is_none()) else {
+        let Some(waited) = self.waited.iter_mut().find(|w| w.name == from && w.answered_at.is_none()) else {
             return;
         };
-        waited.arrived = Some(now);
+        waited.answered_at = Some(now);
         waited.weight = books.unwrap_or_default() as f64 / members;
         if from != self.me && books.is_some() {
-            deadline.arrived(kind, from, &waited.zone, took, own);
+            deadline.record_answer(kind, from, &waited.zone, took, own);
         }
         if self.closed.is_none() {
             self.reckon(now, deadline);
@@ -158,7 +170,7 @@
 
     /// Takes a page of an owner's answer; late ones count for learning alone.
     pub fn page(&mut self, now: Nanos, from: &str, page: Page, deadline: &mut dyn Deadline) {
-        let asked = self.waited.iter().any(|w| w.name == from && w.arrived.is_none());
+        let asked = self.waited.iter().any(|w| w.name == from && w.answered_at.is_none());
         if !asked || page.pages == 0 || page.page >= page.pages || usize::from(page.pages) > PAGES {
             return;
         }
@@ -233,10 +245,10 @@
 
     /// The chance that it lives is another one.
     pub fn lives(&mut self, now: Nanos, name: &str, chance: f64, deadline: &mut dyn Deadline) {
-        let Some(waited) = self.waited.iter_mut().find(|w| w.name == name && w.arrived.is_none()) else {
+        let Some(waited) = self.waited.iter_mut().find(|w| w.name == name && w.answered_at.is_none()) else {
             return;
         };
-        waited.lives = chance;
+        waited.liveness = chance;
         if self.closed.is_none() {
             self.reckon(now, deadline);
         }
@@ -249,7 +261,7 @@
         if !self.cut && covered == members {
             return Some(Why::Covered);
         }
-        let mut missing = self.waited.iter().filter(|w| w.arrived.is_none());
+        let mut missing = self.waited.iter().filter(|w| w.answered_at.is_none());
         if missing.clone().next().is_none() {
             return Some(Why::AllAnswered);
         }
@@ -268,12 +280,13 @@
         let rest: Vec<Entry> = rest.collect();
         rest.into_iter().for_each(|r| self.row((false, r)));
         let (members, covered) = self.accounted();
-        let names =
-            |of: &dyn Fn(&&Waited) -> bool| self.waited.iter().filter(of).map(|w| w.name.clone()).collect();
+        let names = |of: &dyn Fn(&&AskedMember) -> bool| {
+            self.waited.iter().filter(of).map(|w| w.name.clone()).collect()
+        };
         let report = Report {
             key: self.key.clone(),
             asked: names(&|_| true),
-            answered: names(&|w| w.arrived.is_some() && !self.busy.contains(&w.name)),
+            answered: names(&|w| w.answered_at.is_some() && !self.busy.contains(&w.name)),
             busy: self.busy.iter().cloned().collect(),
             given_up: self.gone.iter().cloned().collect(),
             members,
@@ -303,8 +316,8 @@
         if self.own_delay.saturating_mul(8) > now.saturating_sub(self.asked_at) {
             return;
         }
-        for w in self.waited.iter().filter(|w| w.arrived.is_none() && !self.gone.contains(&w.name)) {
-            deadline.missed(self.key.parts().0, &w.name, &w.zone, now.saturating_sub(self.asked_at));
+        for w in self.waited.iter().filter(|w| w.answered_at.is_none() && !self.gone.contains(&w.name)) {
+            deadline.record_missing(self.key.parts().0, &w.name, &w.zone, now.saturating_sub(self.asked_at));
         }
     }
 }
--- a/crates/directory/src/directory.rs
+++ b/crates/directory/src/directory.rs
@@ -364,9 +364,9 @@
     /// The directory of a member that has just started, and knows of no other.
     ///
     /// ```
-    /// # use micadyke_deadline::Fixed;
+    /// # use micadyke_deadline::FixedDeadline;
     /// # use micadyke_directory::*;
-    /// let alone = Directory::new(Settings::new("n1", 1), Box::new(Fixed(50 * MS)), 0);
+    /// let alone = Directory::new(Settings::new("n1", 1), Box::new(FixedDeadline(50 * MS)), 0);
     /// assert_eq!((alone.members(), alone.wake_at()), (1, Nanos::MAX));
     /// ```
     pub fn new(settings: Settings, deadline: Box<dyn Deadline>, now: Nanos) -> Self {
@@ -421,9 +421,9 @@
     /// What was counted.
     ///
     /// ```
-    /// # use micadyke_deadline::Fixed;
+    /// # use micadyke_deadline::FixedDeadline;
     /// # use micadyke_directory::*;
-    /// let mut alone = Directory::new(Settings::new("n1", 1), Box::new(Fixed(50 * MS)), 0);
+    /// let mut alone = Directory::new(Settings::new("n1", 1), Box::new(FixedDeadline(50 * MS)), 0);
     /// let mut out = Vec::new();
     /// alone.handle(0, Input::Started(&Session::new("news", "v1", "s3")), &mut out);
     /// alone.ask(MS, Key::Title("news".into()), SECOND, &mut out)?;
@@ -437,9 +437,9 @@
     /// Sizes of the books: lines of the own, lines of others, questions, withdrawals.
     ///
     /// ```
-    /// # use micadyke_deadline::Fixed;
+    /// # use micadyke_deadline::FixedDeadline;
     /// # use micadyke_directory::*;
-    /// let mut alone = Directory::new(Settings::new("n1", 1), Box::new(Fixed(50 * MS)), 0);
+    /// let mut alone = Directory::new(Settings::new("n1", 1), Box::new(FixedDeadline(50 * MS)), 0);
     /// let mut out = Vec::new();
     /// alone.handle(0, Input::Started(&Session::new("news", "v1", "s3")), &mut out);
     /// // A line each for its title, its viewer and its server.
@@ -452,9 +452,9 @@
     /// Living members, this one included.
     ///
     /// ```
-    /// # use micadyke_deadline::Fixed;
+    /// # use micadyke_deadline::FixedDeadline;
     /// # use micadyke_directory::*;
-    /// let mut alone = Directory::new(Settings::new("n1", 1), Box::new(Fixed(50 * MS)), 0);
+    /// let mut alone = Directory::new(Settings::new("n1", 1), Box::new(FixedDeadline(50 * MS)), 0);
     /// let mut out = Vec::new();
     /// let up = Seen::Up { name: "n2".into(), start: 7, zone: "east".into() };
     /// alone.handle(0, Input::View(up), &mut out);
@@ -478,10 +478,10 @@
     /// fewer, 16 s for 300.
     ///
     /// ```
-    /// use micadyke_deadline::Fixed;
+    /// use micadyke_deadline::FixedDeadline;
     /// use micadyke_directory::{Directory, MS, SECOND, Settings};
     ///
-    /// let alone = Directory::new(Settings::new("n1", 1), Box::new(Fixed(50 * MS)), 0);
+    /// let alone = Directory::new(Settings::new("n1", 1), Box::new(FixedDeadline(50 * MS)), 0);
     /// assert_eq!(alone.bound(), 5 * SECOND);
     /// ```
     pub fn bound(&self) -> Nanos {
@@ -491,9 +491,9 @@
     /// Digest of this member's copy of a member's book, or of its own book as far as it owns it; and of how many lines.
     ///
     /// ```
-    /// # use micadyke_deadline::Fixed;
+    /// # use micadyke_deadline::FixedDeadline;
     /// # use micadyke_directory::*;
-    /// let mut alone = Directory::new(Settings::new("n1", 1), Box::new(Fixed(50 * MS)), 0);
+    /// let mut alone = Directory::new(Settings::new("n1", 1), Box::new(FixedDeadline(50 * MS)), 0);
     /// let mut out = Vec::new();
     /// alone.handle(0, Input::Started(&Session::new("news", "v1", "s3")), &mut out);
     /// assert_eq!(alone.digest("n1").map(|d| d.1), Some(3));
@@ -510,9 +510,9 @@
     /// Digest of that part of the own book that a member owns.
     ///
     /// ```
-    /// # use micadyke_deadline::Fixed;
+    /// # use micadyke_deadline::FixedDeadline;
     /// # use micadyke_directory::*;
-    /// let mut alone = Directory::new(Settings::new("n1", 1), Box::new(Fixed(50 * MS)), 0);
+    /// let mut alone = Directory::new(Settings::new("n1", 1), Box::new(FixedDeadline(50 * MS)), 0);
     /// let mut out = Vec::new();
     /// let up = Seen::Up { name: "n2".into(), start: 7, zone: "east".into() };
     /// alone.handle(0, Input::View(up), &mut out);
@@ -526,9 +526,9 @@
     /// heard the same.
     ///
     /// ```
-    /// # use micadyke_deadline::Fixed;
+    /// # use micadyke_deadline::FixedDeadline;
     /// # use micadyke_directory::*;
-    /// let mut alone = Directory::new(Settings::new("n1", 1), Box::new(Fixed(50 * MS)), 0);
+    /// let mut alone = Directory::new(Settings::new("n1", 1), Box::new(FixedDeadline(50 * MS)), 0);
     /// let mut out = Vec::new();
     /// alone.handle(0, Input::Started(&Session::new("news", "v1", "s3")), &mut out);
     /// let point = Key::Title("news".into()).point();
@@ -547,9 +547,9 @@
     /// The owners of a key, by the map in force.
     ///
     /// ```
-    /// # use micadyke_deadline::Fixed;
+    /// # use micadyke_deadline::FixedDeadline;
     /// # use micadyke_directory::*;
-    /// let alone = Directory::new(Settings::new("n1", 1), Box::new(Fixed(50 * MS)), 0);
+    /// let alone = Directory::new(Settings::new("n1", 1), Box::new(FixedDeadline(50 * MS)), 0);
     /// assert_eq!(alone.owners(&Key::Server("s3".into())), ["n1"]);
     /// ```
     pub fn owners(&self, key: &Key) -> Vec<String> {
@@ -559,9 +559,9 @@
     /// Whether sessions of this title or of this viewer are to end.
     ///
     /// ```
-    /// # use micadyke_deadline::Fixed;
+    /// # use micadyke_deadline::FixedDeadline;
     /// # use micadyke_directory::*;
-    /// let mut alone = Directory::new(Settings::new("n1", 1), Box::new(Fixed(50 * MS)), 0);
+    /// let mut alone = Directory::new(Settings::new("n1", 1), Box::new(FixedDeadline(50 * MS)), 0);
     /// let mut out = Vec::new();
     /// alone.withdraw(0, Key::Viewer("v1".into()), SECOND, &mut out)?;
     /// assert!(alone.withdrawn("news", "v1") && !alone.withdrawn("news", "v2"));
@@ -575,9 +575,9 @@
     /// When [`Input::Wake`] is due.
     ///
     /// ```
-    /// # use micadyke_deadline::Fixed;
+    /// # use micadyke_deadline::FixedDeadline;
     /// # use micadyke_directory::*;
-    /// let mut alone = Directory::new(Settings::new("n1", 1), Box::new(Fixed(50 * MS)), 0);
+    /// let mut alone = Directory::new(Settings::new("n1", 1), Box::new(FixedDeadline(50 * MS)), 0);
     /// let mut out = Vec::new();
     /// assert_eq!(alone.wake_at(), Nanos::MAX);
     /// alone.withdraw(0, Key::Viewer("v1".into()), 5 * SECOND, &mut out)?;
@@ -595,9 +595,9 @@
     /// Takes one input at time `now`; what is to be done is appended to `out`, in order.
     ///
     /// ```
-    /// # use micadyke_deadline::Fixed;
+    /// # use micadyke_deadline::FixedDeadline;
     /// # use micadyke_directory::*;
-    /// let mut alone = Directory::new(Settings::new("n1", 1), Box::new(Fixed(50 * MS)), 0);
+    /// let mut alone = Directory::new(Settings::new("n1", 1), Box::new(FixedDeadline(50 * MS)), 0);
     /// let mut out = Vec::new();
     /// let up = Seen::Up { name: "n2".into(), start: 7, zone: "east".into() };
     /// alone.handle(0, Input::View(up), &mut out);
--- a/crates/directory/src/directory/decrees.rs
+++ b/crates/directory/src/directory/decrees.rs
@@ -24,10 +24,10 @@
     /// [`Error::Kind`], [`Error::Span`], [`Error::Full`]: nothing was done.
     ///
     /// ```
-    /// use micadyke_deadline::Fixed;
+    /// use micadyke_deadline::FixedDeadline;
     /// use micadyke_directory::{Directory, Input, Key, MS, Output, SECOND, Seen, Settings};
     ///
-    /// let mut alone = Directory::new(Settings::new("n1", 1), Box::new(Fixed(50 * MS)), 0);
+    /// let mut alone = Directory::new(Settings::new("n1", 1), Box::new(FixedDeadline(50 * MS)), 0);
     /// let (what, mut out) = (Key::Title("news".into()), Vec::new());
     /// alone.withdraw(0, what.clone(), 60 * SECOND, &mut out)?;
     /// assert!(alone.withdrawn("news", "v1"));
@@ -65,9 +65,9 @@
     /// [`Error::Unknown`]: it is not in force here.
     ///
     /// ```
-    /// # use micadyke_deadline::Fixed;
+    /// # use micadyke_deadline::FixedDeadline;
     /// # use micadyke_directory::*;
-    /// let mut alone = Directory::new(Settings::new("n1", 1), Box::new(Fixed(50 * MS)), 0);
+    /// let mut alone = Directory::new(Settings::new("n1", 1), Box::new(FixedDeadline(50 * MS)), 0);
     /// let mut out = Vec::new();
     /// let what = Key::Title("news".into());
     /// assert_eq!(alone.lift(0, what.clone(), &mut out), Err(Error::Unknown(what.clone())));
@@ -124,9 +124,9 @@
     /// How far a withdrawal that is followed here has come.
     ///
     /// ```
-    /// # use micadyke_deadline::Fixed;
+    /// # use micadyke_deadline::FixedDeadline;
     /// # use micadyke_directory::*;
-    /// let mut alone = Directory::new(Settings::new("n1", 1), Box::new(Fixed(50 * MS)), 0);
+    /// let mut alone = Directory::new(Settings::new("n1", 1), Box::new(FixedDeadline(50 * MS)), 0);
     /// let mut out = Vec::new();
     /// let what = Key::Title("news".into());
     /// assert_eq!(alone.progress(&what), None);
@@ -320,9 +320,9 @@
     /// What is withdrawn, or was lifted, as far as this member knows.
     ///
     /// ```
-    /// # use micadyke_deadline::Fixed;
+    /// # use micadyke_deadline::FixedDeadline;
     /// # use micadyke_directory::*;
-    /// let mut alone = Directory::new(Settings::new("n1", 1), Box::new(Fixed(50 * MS)), 0);
+    /// let mut alone = Directory::new(Settings::new("n1", 1), Box::new(FixedDeadline(50 * MS)), 0);
     /// let mut out = Vec::new();
     /// alone.withdraw(0, Key::Title("news".into()), 60 * SECOND, &mut out)?;
     /// let known = alone.withdrawals().next().unwrap();
--- a/crates/directory/src/directory/questions.rs
+++ b/crates/directory/src/directory/questions.rs
@@ -6,7 +6,7 @@
 use crate::range_index::{LOW, Place};
 use crate::wire::{Id, Message, chunks};
 use crate::{Error, Key, MS, Nanos, Point, SECOND};
-use micadyke_deadline::Waited;
+use micadyke_deadline::AskedMember;
 
 /// Questions open at most; and closed ones that wait for late answers, for so long.
 const OPEN: usize = 64;
@@ -22,9 +22,9 @@
     /// [`Error::Open`] and [`Error::Rate`]: too much is asked. Nothing was sent.
     ///
     /// ```
-    /// # use micadyke_deadline::Fixed;
+    /// # use micadyke_deadline::FixedDeadline;
     /// # use micadyke_directory::*;
-    /// let mut alone = Directory::new(Settings::new("n1", 1), Box::new(Fixed(50 * MS)), 0);
+    /// let mut alone = Directory::new(Settings::new("n1", 1), Box::new(FixedDeadline(50 * MS)), 0);
     /// let mut out = Vec::new();
     /// alone.handle(0, Input::Started(&Session::new("news", "v1", "s3")), &mut out);
     /// let id = alone.ask(MS, Key::Viewer("v1".into()), SECOND, &mut out)?;
@@ -59,13 +59,13 @@
         self.question += 1;
         let waited = |name: &String| {
             let peer = self.peers.get(name);
-            Waited {
+            AskedMember {
                 name: name.clone(),
                 zone: peer.map_or(self.settings.zone.clone(), |p| p.zone.clone()),
                 // What it adds to what is accounted for is known when it has answered.
                 weight: 0.0,
-                lives: peer.map_or(1.0, |p| self.chance(p)),
-                arrived: None,
+                liveness: peer.map_or(1.0, |p| self.chance(p)),
+                answered_at: None,
             }
         };
         let waited = owners.iter().filter(|o| **o == me || others.contains(o)).map(waited).collect();
--- a/crates/directory/src/lib.rs
+++ b/crates/directory/src/lib.rs
@@ -10,10 +10,10 @@
 //! or a viewer: each node looks in its own book, and it is over when each living member has said so.
 //!
 //! ```
-//! use micadyke_deadline::Fixed;
+//! use micadyke_deadline::FixedDeadline;
 //! use micadyke_directory::{Answer, Directory, Input, Key, MS, Output, SECOND, Session, Settings};
 //!
-//! let mut alone = Directory::new(Settings::new("n1", 7), Box::new(Fixed(50 * MS)), 0);
+//! let mut alone = Directory::new(Settings::new("n1", 7), Box::new(FixedDeadline(50 * MS)), 0);
 //! let mut out = Vec::new();
 //! alone.handle(0, Input::Started(&Session::new("news", "v1", "s3")), &mut out);
 //! alone.ask(SECOND, Key::Title("news".into()), 2 * SECOND, &mut out)?;
--- a/crates/directory/src/settings.rs
+++ b/crates/directory/src/settings.rs
@@ -17,7 +17,7 @@
 use crate::{Key, MS, Nanos, SECOND};
 use micadyke_config::units::Unit;
 use micadyke_config::{Diagnostic, Form, read_file};
-use micadyke_deadline::{Deadline, Fixed, Learned};
+use micadyke_deadline::{Deadline, FixedDeadline, LearnedDeadline};
 use std::net::SocketAddr;
 
 /// How long an owner is waited for where no deadline is to be learned.
@@ -50,18 +50,18 @@
     /// The first fault of the deadline's settings; none where they were read from a form.
     ///
     /// ```
-    /// use micadyke_deadline::Open;
+    /// use micadyke_deadline::OpenQuery;
     /// use micadyke_directory::{MS, settings::read};
     ///
     /// let terms = read("(directory)", "n3.sexp").unwrap().unwrap();
-    /// let open = Open { kind: 0, asked_at: 0, limit: 400 * MS, waited: Vec::new() };
-    /// assert_eq!(terms.waits()?.until(0, &open), 150 * MS);
+    /// let open = OpenQuery { kind: 0, asked_at: 0, deadline: 400 * MS, members: Vec::new() };
+    /// assert_eq!(terms.waits()?.wait_until(0, &open), 150 * MS);
     /// # Ok::<(), micadyke_deadline::Error>(())
     /// ```
     pub fn waits(&self) -> Result<Box<dyn Deadline>, micadyke_deadline::Error> {
         Ok(match &self.deadline {
-            Some(settings) => Box::new(Learned::new(settings.clone())?),
-            None => Box::new(Fixed(WAIT)),
+            Some(settings) => Box::new(LearnedDeadline::new(settings.clone())?),
+            None => Box::new(FixedDeadline(WAIT)),
         })
     }
 
@@ -77,7 +77,7 @@
     /// ```
     pub fn limit(&self, key: &Key) -> Nanos {
         let kind = key.parts().0;
-        self.deadline.as_ref().map_or(self.patience, |d| d.worth(kind).most.min(self.patience))
+        self.deadline.as_ref().map_or(self.patience, |d| d.worth(kind).max_wait.min(self.patience))
     }
 
     /// What settings that are sound do not promise, in a fleet of so many members whose membership sends at most so many
@@ -117,20 +117,20 @@
         };
         for (name, kind) in KINDS {
             let worth = deadline.worth(kind);
-            let limit = worth.most.min(self.patience);
-            let nothing = (worth.of(1.0) / worth.price * MS as f64) as Nanos;
-            if worth.first >= limit {
+            let limit = worth.max_wait.min(self.patience);
+            let nothing = (worth.value(1.0) / worth.price * MS as f64) as Nanos;
+            if worth.initial_latency >= limit {
                 notes.push(format!(
                     "{name}: an answer takes {} by 'first', and a question is over after {}: it ends empty as a rule; raise 'most' or 'patience'",
-                    ms(worth.first),
+                    ms(worth.initial_latency),
                     ms(limit)
                 ));
             }
-            if nothing <= worth.first {
+            if nothing <= worth.initial_latency {
                 notes.push(format!(
                     "{name}: at this price a whole answer is worth nothing after {}, and one takes {} by 'first': nobody is waited for; lower 'price'",
                     ms(nothing),
-                    ms(worth.first)
+                    ms(worth.initial_latency)
                 ));
             } else if nothing < limit {
                 notes.push(format!(
--- a/crates/front/src/core.rs
+++ b/crates/front/src/core.rs
@@ -22,7 +22,7 @@
 use micadyke::module::Decide;
 use micadyke_config::{BoxRow, Config, RouteKind};
 use micadyke_http::{Method, Request, Response};
-use micadyke_recovery::phases::Heard;
+use micadyke_recovery::phases::RecoveryInput;
 use micadyke_tokens::bearer::Checker;
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
@@ -151,10 +151,14 @@
                     self.list(rows, epoch);
                 }
             }
-            Input::Fleet(fact) => self.recover(fact.heard()),
+            Input::Fleet(fact) => self.recover(fact.as_input()),
             Input::Part { always, leased, span } => {
                 let until = self.now.saturating_add(span);
-                self.events.push_back(Event::Part { always, leased, until });
+                self.events.push_back(Event::ColdBudgetShare {
+                    guaranteed: always,
+                    leased,
+                    lease_ends_at: until,
+                });
             }
             Input::Reply { call, result } => self.reply(call, result),
             Input::Closed { call } => self.closed(call),
@@ -211,10 +215,10 @@
         match action {
             Action::SetRung { session, rung } => self.set_rung(session, rung),
             Action::Send { session, server, timeout } => self.send(session, server, timeout),
-            Action::Refuse { session, come_back } => {
+            Action::Refuse { session, retry_after } => {
                 // While the front comes back, all are refused: not all of them are told to come at once.
                 let spread = self.spread.as_mut().map(|s| s.advise(self.now));
-                self.refuse(session, spread.unwrap_or(come_back));
+                self.refuse(session, spread.unwrap_or(retry_after));
             }
             Action::Fail { session } => self.fail(session),
             Action::SetTimer { after, token } => self.timer(after, Timer::Module(token)),
@@ -223,7 +227,7 @@
     }
 
     fn tick(&mut self) {
-        self.recover(Heard::Wake);
+        self.recover(RecoveryInput::Timer);
         while self.timers.peek().is_some_and(|Reverse((at, ..))| *at <= self.now) {
             let Some(Reverse((_, _, timer))) = self.timers.pop() else { return };
             match timer {
--- a/crates/front/src/hints.rs
+++ b/crates/front/src/hints.rs
@@ -1,7 +1,7 @@
 //! What a player's hints are taken for: which rungs its viewer can use, which of a manifest's renditions it is offered,
 //! and what the decision module is told of its play. Decisions of their own, free of I/O and clock.
 
-use micadyke::interface::{NoteKind, Rung};
+use micadyke::interface::{ReportKind, Rung};
 use micadyke_cmcd::Cmcd;
 
 /// The ladder as bits a second.
@@ -69,7 +69,7 @@
     /// starves (`bs`) is short of its rate by what it measures (`mtp`) over that, but only where it once measured
     /// enough: a viewer whose own way is narrow says nothing of its box. It is short no more when it asks with a buffer
     /// (`bl`) and did not starve.
-    pub fn heard(&mut self, told: &Cmcd, ladder: &Ladder) -> Vec<(NoteKind, f64)> {
+    pub fn heard(&mut self, told: &Cmcd, ladder: &Ladder) -> Vec<(ReportKind, f64)> {
         let mut notes = Vec::new();
         let measured = told.integer("mtp").unwrap_or(0);
         let once = self.best;
@@ -79,16 +79,16 @@
         let rung = rate.and_then(|r| ladder.rung(r.saturating_mul(1_000)));
         if rung.is_some() && rung != self.rung && !told.flag("su") {
             self.rung = rung;
-            notes.extend(rung.map(|r| (NoteKind::RungInForce, r as f64)));
+            notes.extend(rung.map(|r| (ReportKind::RungInForce, r as f64)));
         }
         if told.flag("bs") {
             if let Some(rate) = rate.filter(|r| once >= *r && measured > 0 && measured < *r) {
                 self.short = true;
-                notes.push((NoteKind::Delivered, measured as f64 / rate as f64));
+                notes.push((ReportKind::Delivered, measured as f64 / rate as f64));
             }
         } else if self.short && told.integer("bl").is_some_and(|b| b > 0) {
             self.short = false;
-            notes.push((NoteKind::Delivered, 1.0));
+            notes.push((ReportKind::Delivered, 1.0));
         }
         notes
     }
--- a/crates/front/src/io.rs
+++ b/crates/front/src/io.rs
@@ -5,7 +5,7 @@
 use micadyke_config::BoxRow;
 use micadyke_http::client::CallError;
 use micadyke_http::{Request, Response, sse};
-use micadyke_recovery::phases::Fleet;
+use micadyke_recovery::phases::MembershipEvent;
 use micadyke_recovery::record::Change;
 use micadyke_tokens::store::Record;
 use std::net::{IpAddr, SocketAddr};
@@ -50,7 +50,7 @@
         /// Unix time of the front's time zero, in nanoseconds.
         epoch: u64,
     },
-    /// The part of each box's cold budget that is this front's: see [`micadyke::interface::Event::Part`].
+    /// The part of each box's cold budget that is this front's: see [`micadyke::interface::Event::ColdBudgetShare`].
     Part {
         /// Always.
         always: f64,
@@ -60,7 +60,7 @@
         span: Nanos,
     },
     /// The view of the other fronts changed.
-    Fleet(Fleet),
+    Fleet(MembershipEvent),
     /// A call came to its end. Each [`Output::Call`] comes back as exactly one of this and [`Input::Closed`].
     Reply {
         /// Which call.
--- a/crates/front/src/keeping.rs
+++ b/crates/front/src/keeping.rs
@@ -1,7 +1,7 @@
 //! What a front keeps over a restart, opened: its store, and what a log of old said where there was one.
 
-use micadyke_recovery::record::Kept;
-use micadyke_recovery::store::{Fault, Store, put_aside};
+use micadyke_recovery::record::StoredState;
+use micadyke_recovery::store::{Store, StoreError, move_aside};
 use micadyke_tokens::store::{State, read_log};
 use std::path::{Path, PathBuf};
 use tracing::warn;
@@ -15,7 +15,7 @@
     /// The store.
     pub store: Store,
     /// What was kept.
-    pub kept: Kept,
+    pub kept: StoredState,
     /// The seats among that.
     pub seats: State,
 }
@@ -33,10 +33,10 @@
 /// assert_eq!((opened.seats.epoch, opened.kept.sessions.len()), (0, 0));
 /// # drop(opened);
 /// # std::fs::remove_file(&file).expect("it was there");
-/// # Ok::<(), micadyke_recovery::store::Fault>(())
+/// # Ok::<(), micadyke_recovery::store::StoreError>(())
 /// ```
-pub fn open(path: &Path) -> Result<Opened, Fault> {
-    let disk = |e: std::io::Error| Fault::Disk(e.to_string());
+pub fn open(path: &Path) -> Result<Opened, StoreError> {
+    let disk = |e: std::io::Error| StoreError::Io(e.to_string());
     let next = beside(path, "next");
     match old_log(path).map_err(disk)? {
         Some(log) => {
@@ -51,8 +51,8 @@
                 Err(e) if e.kind() != std::io::ErrorKind::NotFound => return Err(disk(e)),
                 _ => {}
             }
-            Store::open(&next)?.store.keep(&log.changes())?;
-            let to = put_aside(path, "log").map_err(disk)?;
+            Store::open(&next)?.store.commit(&log.changes())?;
+            let to = move_aside(path, "log").map_err(disk)?;
             std::fs::rename(&next, path).map_err(disk)?;
             warn!("{}: a log of seats, read into a store and set aside as {}", path.display(), to.display());
         }
@@ -60,15 +60,15 @@
         None => {}
     }
     let opened = Store::open(path)?;
-    let seats = match &opened.aside {
-        None => State::from(&opened.kept),
+    let seats = match &opened.quarantined {
+        None => State::from(&opened.state),
         Some((to, why)) => {
             let to = to.display();
             warn!("{}: {why}; set aside as {to}, nothing of a former start is claimed", path.display());
             State::default().damaged(0)
         }
     };
-    Ok(Opened { store: opened.store, kept: opened.kept, seats })
+    Ok(Opened { store: opened.store, kept: opened.state, seats })
 }
 
 /// The same where the seats lay in a file of their own until now: what that says is taken over, and it is set aside.
@@ -76,16 +76,16 @@
 /// # Errors
 ///
 /// See [`open`].
-pub fn open_with(path: &Path, seats: Option<&Path>) -> Result<Opened, Fault> {
+pub fn open_with(path: &Path, seats: Option<&Path>) -> Result<Opened, StoreError> {
     let mut opened = open(path)?;
     let Some(own) = seats.filter(|own| *own != path && own.exists()) else { return Ok(opened) };
     let before = open(own)?;
     if before.seats.epoch > opened.seats.epoch {
-        opened.store.keep(&before.seats.changes())?;
+        opened.store.commit(&before.seats.changes())?;
         opened.seats = before.seats;
     }
     drop(before.store);
-    let to = put_aside(own, "moved").map_err(|e| Fault::Disk(e.to_string()))?;
+    let to = move_aside(own, "moved").map_err(|e| StoreError::Io(e.to_string()))?;
     warn!("{}: its seats are in {} now; set aside as {}", own.display(), path.display(), to.display());
     Ok(opened)
 }
--- a/crates/front/src/media.rs
+++ b/crates/front/src/media.rs
@@ -283,7 +283,7 @@
             return;
         };
         for (kind, value) in notes {
-            self.tell(Event::Note { session: id, server, kind, value });
+            self.tell(Event::Report { session: id, server, kind, value });
         }
     }
 
--- a/crates/front/src/returning.rs
+++ b/crates/front/src/returning.rs
@@ -11,10 +11,10 @@
 use micadyke_config::{BoxRow, RouteKind, Title};
 use micadyke_http::Method;
 use micadyke_recovery::SECOND;
-use micadyke_recovery::phases::{Asks, Heard, Limits, Phase, Phases, Serve};
-use micadyke_recovery::record::{self, Change, Kept, Key, Record, Server};
-use micadyke_recovery::spread::{Spread, borne};
-use micadyke_recovery::trust::{Age, Fact, Trust, Word, trust};
+use micadyke_recovery::phases::{Limits, Phase, RecoveryInput, RecoveryOutput, RecoveryPhases, ServiceStart};
+use micadyke_recovery::record::{self, Change, Key, Record, Server, StoredState};
+use micadyke_recovery::retry_spreader::{RetrySpreader, sustainable_rate};
+use micadyke_recovery::trust::{Age, Confirmation, Fact, Trust, trust};
 use rand::seq::IndexedRandom;
 use std::net::SocketAddr;
 use tracing::info;
@@ -27,7 +27,7 @@
 
 /// A front's recovery.
 pub(crate) struct Returning {
-    phases: Phases,
+    phases: RecoveryPhases,
     told: Phase,
     /// The newest list, and the Unix time of the front's time zero.
     list: Option<(Vec<BoxRow>, u64)>,
@@ -42,17 +42,17 @@
 impl Front {
     /// The front keeps its book of sessions by [`Output::Keep`], and comes back by what was kept. To be called before its
     /// first input.
-    pub fn comes_back(&mut self, phases: Phases, kept: &Kept, unix: Nanos) {
+    pub fn comes_back(&mut self, phases: RecoveryPhases, kept: &StoredState, unix: Nanos) {
         self.keeping = true;
         let written = kept.list.as_ref().map_or(0, |l| l.2);
         let settings = &self.config.settings;
-        if settings.may_advise {
+        if settings.advises_retry {
             let servers = kept.list.as_ref().map_or(settings.cells as usize, |l| l.3.len()).max(1);
             let each = settings.streams_by_kind.iter().min().copied().unwrap_or(1);
             let streams = servers as f64 * f64::from(each);
             let part = 1.0 / f64::from(settings.fronts.max(1));
-            let rate = borne(streams, settings.cold_from, settings.cold_for, part);
-            self.spread = Some(Spread::new(rate, settings.max_come_back));
+            let rate = sustainable_rate(streams, settings.cold_from, settings.cold_for, part);
+            self.spread = Some(RetrySpreader::new(rate, settings.max_retry_after));
         }
         let mut sessions = Vec::new();
         for s in kept.sessions.values() {
@@ -142,13 +142,13 @@
             layer: p.place.layer.to_string(),
             events: p.place.events.to_string(),
         };
-        self.out.push(Output::Keep(Change::Keep(Record::Session(Box::new(record)))));
+        self.out.push(Output::Keep(Change::Put(Record::Session(Box::new(record)))));
     }
 
     /// A session's books are closed.
     pub(crate) fn keep_no_more(&mut self, session: &Session) {
         if self.is_kept(session) && matches!(session.phase, Stage::Playing(_)) {
-            self.out.push(Output::Keep(Change::Gone(Key::Session(session.name))));
+            self.out.push(Output::Keep(Change::Delete(Key::Session(session.name))));
         }
     }
 
@@ -160,8 +160,8 @@
         }
         let path = path.to_owned();
         self.out.push(Output::Keep(match owed {
-            true => Change::Keep(Record::Owed { addr, path }),
-            false => Change::Gone(Key::Owed(addr, path)),
+            true => Change::Put(Record::Owed { addr, path }),
+            false => Change::Delete(Key::Owed(addr, path)),
         }));
     }
 
@@ -192,24 +192,24 @@
         let Some(r) = &mut self.returning else { return Some((rows, epoch)) };
         r.list = Some((rows, epoch));
         // A file of this machine says what it says: its versions are not numbered.
-        self.recover(Heard::List { version: 0 });
+        self.recover(RecoveryInput::List { version: 0 });
         None
     }
 
     /// Recovery hears something.
-    pub(crate) fn recover(&mut self, heard: Heard) {
+    pub(crate) fn recover(&mut self, heard: RecoveryInput) {
         let (now, mut asks) = (self.now, Vec::new());
         let Some(r) = &mut self.returning else { return };
         r.phases.handle(now, heard, &mut asks);
         if r.told != r.phases.phase() {
             r.told = r.phases.phase();
-            let (waits_for, fell) = (r.phases.waits_for(now), r.phases.fell());
-            info!(phase = ?r.told, waits_for, ?fell, limited = r.phases.limited, "recovery goes on");
+            let (waits_for, outage) = (r.phases.waits_for(now), r.phases.outage());
+            info!(phase = ?r.told, waits_for, ?outage, limit_reached = r.phases.limit_reached, "recovery goes on");
         }
         for ask in asks {
             match ask {
-                Asks::Servers => self.ask_boxes(),
-                Asks::Serve(serve) => self.begin_service(serve),
+                RecoveryOutput::ProbeServers => self.ask_boxes(),
+                RecoveryOutput::StartService(serve) => self.begin_service(serve),
             }
         }
     }
@@ -227,7 +227,7 @@
             self.call_soon(Purpose::Alive, *to, request);
         }
         if asked.is_empty() {
-            self.recover(Heard::Answered);
+            self.recover(RecoveryInput::ServersAnswered);
         }
     }
 
@@ -236,19 +236,19 @@
         let Some(r) = &mut self.returning else { return };
         r.asked = r.asked.saturating_sub(1);
         if r.asked == 0 {
-            self.recover(Heard::Answered);
+            self.recover(RecoveryInput::ServersAnswered);
         }
     }
 
     /// Service begins: the module is told of all boxes, and then of what may still play there.
-    fn begin_service(&mut self, serve: Serve) {
+    fn begin_service(&mut self, serve: ServiceStart) {
         let Some(r) = self.returning.take() else { return };
         self.spread = None;
         let (rows, epoch) = r.list.unwrap_or_default();
         if !serve.warm {
             self.cold_from = epoch.saturating_add(self.now);
         }
-        let hint = trust(Fact::Session, r.age, serve.fell, Word::Nothing) != Trust::Void;
+        let hint = trust(Fact::Session, r.age, serve.outage, Confirmation::Unconfirmed) != Trust::Worthless;
         let mut asked = 0u64;
         self.list(rows, epoch);
         for id in r.sessions {
@@ -275,13 +275,18 @@
                 b.playing.insert(id);
             }
             if let Some(wish) = self.wish(id, place, self.now, true) {
-                self.tell(Event::Adopted { wish, server });
+                self.tell(Event::Adopted { request: wish, server });
             }
             self.asking.add(server, id);
             asked += 1;
         }
         self.ask_on();
-        info!(?serve, limited = r.phases.limited, sessions = asked, "recovery is over: in service");
+        info!(
+            ?serve,
+            limit_reached = r.phases.limit_reached,
+            sessions = asked,
+            "recovery is over: in service"
+        );
     }
 
     /// Asks for sessions of before, as many as may be asked for at a time.
--- a/crates/front/src/shell.rs
+++ b/crates/front/src/shell.rs
@@ -11,10 +11,10 @@
 use micadyke_config::{Config, RouteKind};
 use micadyke_http::client::{CallError, Connection, read_some};
 use micadyke_http::{Limits, Method, Request, RequestParser, Response, sse};
-use micadyke_membership::shell::{Parts, next_part};
-use micadyke_recovery::keeper::Keeper;
-use micadyke_recovery::phases::{Fleet, Phases};
-use micadyke_recovery::record::{Change, Kept};
+use micadyke_membership::shell::{ShareReceiver, next_share};
+use micadyke_recovery::phases::{MembershipEvent, RecoveryPhases};
+use micadyke_recovery::record::{Change, StoredState};
+use micadyke_recovery::writer::StoreWriter;
 use micadyke_tokens::bearer::Checker;
 use micadyke_tokens::bound::SharedKey;
 use micadyke_tokens::store::{Record, State};
@@ -50,7 +50,7 @@
 #[derive(Default)]
 pub struct Extras {
     /// What its store says of seats, and the way to the store; due where the settings name an issuer.
-    pub seats: Option<(State, Rc<Keeper>)>,
+    pub seats: Option<(State, Rc<StoreWriter>)>,
     /// What was kept of sessions, where they are kept; without it each start is the first.
     pub recovers: Option<Recovers>,
     /// The secret shared with boxes that bound seated sessions by themselves; due where the settings name one.
@@ -60,20 +60,20 @@
     /// Questions are written down here as they are taken, a line of JSON each.
     pub questions: Option<Questions>,
     /// This front's part of cold budgets, where fronts share them out; without it that goes by their configured number.
-    pub parts: Option<Parts>,
+    pub parts: Option<ShareReceiver>,
 }
 
 /// What a front that keeps its sessions comes back with.
 #[derive(Debug)]
 pub struct Recovers {
     /// What was kept.
-    pub kept: Kept,
+    pub kept: StoredState,
     /// This start, as the other fronts know it.
     pub start: u64,
     /// Where it is kept for the next time.
-    pub keeper: Rc<Keeper>,
+    pub keeper: Rc<StoreWriter>,
     /// Who else is there, where fronts know of each other.
-    pub fleet: Option<mpsc::Receiver<Fleet>>,
+    pub fleet: Option<mpsc::Receiver<MembershipEvent>>,
 }
 
 /// The list is kept so often: by its age the next start knows how old all else is.
@@ -128,7 +128,7 @@
     epoch: u64,
     source: RefCell<Box<dyn Source>>,
     /// The way to the store.
-    keeper: RefCell<Option<Rc<Keeper>>>,
+    keeper: RefCell<Option<Rc<StoreWriter>>>,
     /// When the list was kept last, where sessions are kept.
     listed: Cell<Option<Option<Instant>>>,
     questions: RefCell<Option<Questions>>,
@@ -265,7 +265,7 @@
             .filter_map(|o| if let Output::Keep(c) = o { Some(c) } else { None })
             .collect();
         if let Some(keeper) = self.keeper.borrow().as_ref().filter(|_| !changes.is_empty()) {
-            keeper.keep_all(changes);
+            keeper.save_all(changes);
         }
         for output in out {
             self.carry_out(output);
@@ -283,9 +283,9 @@
         let Some(keeper) = self.keeper.borrow().clone() else { return };
         let changes = records.iter().cloned().map(Into::into);
         if !records.iter().any(|r| matches!(r, Record::Epoch(_))) {
-            return keeper.keep_all(changes);
+            return keeper.save_all(changes);
         }
-        if let Err(e) = keeper.keep_now(changes) {
+        if let Err(e) = keeper.save_and_sync(changes) {
             warn!("seats cannot be kept: {e}");
             records.iter().for_each(|r| self.core.borrow_mut().not_recorded(r));
         }
@@ -319,7 +319,7 @@
             Output::Record(record) => self.write_down(&[record]),
             Output::Keep(change) => {
                 if let Some(keeper) = &*self.keeper.borrow() {
-                    keeper.keep(change);
+                    keeper.save(change);
                 }
             }
             Output::Taken(taken) => {
@@ -354,16 +354,16 @@
     // ----- the list
 
     /// Takes up what was kept; who tells of other fronts.
-    fn comes_back(&self, r: Recovers, leases: bool, unix: u64) -> Option<mpsc::Receiver<Fleet>> {
+    fn comes_back(&self, r: Recovers, leases: bool, unix: u64) -> Option<mpsc::Receiver<MembershipEvent>> {
         let (me, alone, now) = ((self.config.name.as_str(), r.start), r.fleet.is_none(), self.now());
-        let phases = Phases::new(RECOVERY, me, &r.kept, unix, leases, alone, now);
+        let phases = RecoveryPhases::new(RECOVERY, me, &r.kept, unix, leases, alone, now);
         self.core.borrow_mut().comes_back(phases, &r.kept, unix);
         *self.keeper.borrow_mut() = Some(r.keeper);
         self.listed.set(Some(None));
         r.fleet
     }
 
-    async fn fleet(self: Rc<Self>, mut fleet: mpsc::Receiver<Fleet>) {
+    async fn fleet(self: Rc<Self>, mut fleet: mpsc::Receiver<MembershipEvent>) {
         while let Some(fact) = fleet.recv().await {
             self.feed(Input::Fleet(fact));
         }
@@ -377,12 +377,12 @@
         }
         self.listed.set(Some(Some(Instant::now())));
         if let Some(keeper) = &*self.keeper.borrow() {
-            keeper.keep(self.core.borrow().kept_list(self.epoch.saturating_add(self.now())));
+            keeper.save(self.core.borrow().kept_list(self.epoch.saturating_add(self.now())));
         }
     }
 
-    async fn parts(self: Rc<Self>, mut parts: Parts) {
-        while let Some((always, leased, span)) = next_part(&mut parts).await {
+    async fn parts(self: Rc<Self>, mut parts: ShareReceiver) {
+        while let Some((always, leased, span)) = next_share(&mut parts).await {
             self.feed(Input::Part { always, leased, span });
         }
     }
--- a/crates/front/src/signalling.rs
+++ b/crates/front/src/signalling.rs
@@ -10,7 +10,7 @@
 use crate::session::{Asked, Patch, Phase, Place, Playing, Reports, Session, SettingUp};
 use crate::state::{Front, Wanted};
 use micadyke::interface::{
-    ClassId, Event, Nanos, NoteKind, Outcome, Rung, ServerId, SessionId, SessionRequest, TitleId,
+    ClassId, Event, Nanos, Outcome, ReportKind, Rung, ServerId, SessionId, SessionRequest, TitleId,
 };
 use micadyke_config::{Config, RouteKind, Title};
 use micadyke_http::client::CallError;
@@ -215,7 +215,7 @@
             spread: place.spread,
             top: *top,
             give_up_at,
-            again,
+            returning: again,
         })
     }
 
@@ -420,7 +420,7 @@
         }
     }
 
-    pub(crate) fn refuse(&mut self, id: SessionId, come_back: Nanos) {
+    pub(crate) fn refuse(&mut self, id: SessionId, retry_after: Nanos) {
         self.counts.refused += 1;
         let fault = self.sessions.setting_up(id).is_some_and(|s| s.offer_at_fault);
         let response = if fault {
@@ -429,7 +429,7 @@
             Response::problem(503, "no media box has room for the session")
         };
         // Whole seconds (RFC 9110 section 10.2.3), rounded up: never earlier than advised.
-        let seconds = come_back.div_ceil(SECOND).max(1);
+        let seconds = retry_after.div_ceil(SECOND).max(1);
         debug!(session = id.0, seconds, "refused");
         self.answer(id, if fault { response } else { response.with("retry-after", seconds.to_string()) });
     }
@@ -655,9 +655,9 @@
 
     /// Tells the module of the load that a box reported with an answer.
     pub(crate) fn tell_load(&mut self, id: SessionId, server: ServerId, reports: Reports) {
-        for (kind, value) in [(NoteKind::LinkUse, reports.link), (NoteKind::UplinkUse, reports.uplink)] {
+        for (kind, value) in [(ReportKind::LinkUse, reports.link), (ReportKind::UplinkUse, reports.uplink)] {
             if let Some(value) = value {
-                self.tell(Event::Note { session: id, server, kind, value });
+                self.tell(Event::Report { session: id, server, kind, value });
             }
         }
     }
@@ -709,7 +709,12 @@
             && rung != wanted
         {
             session.rung = rung;
-            self.tell(Event::Note { session: id, server, kind: NoteKind::RungInForce, value: rung as f64 });
+            self.tell(Event::Report {
+                session: id,
+                server,
+                kind: ReportKind::RungInForce,
+                value: rung as f64,
+            });
         }
     }
 
@@ -814,7 +819,7 @@
         (p.lost, p.cut) = (0, false);
         let (server, changing) = (p.place.server, p.changing);
         for (kind, value) in notes {
-            if kind == NoteKind::RungInForce {
+            if kind == ReportKind::RungInForce {
                 let told = value as Rung;
                 // What a box tells while a change is on its way is the rung before it.
                 if changing || told >= top {
@@ -828,7 +833,7 @@
                     continue;
                 }
             }
-            self.tell(Event::Note { session: id, server, kind, value });
+            self.tell(Event::Report { session: id, server, kind, value });
         }
     }
 
--- a/crates/front/src/state.rs
+++ b/crates/front/src/state.rs
@@ -11,7 +11,7 @@
 use micadyke::interface::{Action, Event, Nanos, Rung, ServerId, SessionId};
 use micadyke::module::Decide;
 use micadyke_config::{BoxRow, Config, Title};
-use micadyke_recovery::spread::Spread;
+use micadyke_recovery::retry_spreader::RetrySpreader;
 use micadyke_tokens::bearer::Checker;
 use rand::rngs::StdRng;
 use std::cmp::Reverse;
@@ -80,7 +80,7 @@
     /// Sessions of before that their boxes are asked for.
     pub(crate) asking: Asking,
     /// When those that are refused meanwhile are told to come back.
-    pub(crate) spread: Option<Spread>,
+    pub(crate) spread: Option<RetrySpreader>,
     /// After a power loss no box is warmer than one that started at this Unix time.
     pub(crate) cold_from: u64,
     pub(crate) out: Vec<Output>,
